--- a/src/requests/commands/admissionQueue.ts
+++ b/src/requests/commands/admissionQueue.ts
@@ -9,14 +9,14 @@
 import { EndpointSelector } from "../queries/endpointSelector.js";
 import { GroupQueue, SlotRequest, Waiter } from "./groupQueue.js";
 
-/** Time between two checks of waiting requests against their deadlines, in milliseconds. */
-const checkIntervalMilliseconds = 25;
-/** Waiting requests that are tried for each freed slot; bounds the work when the first ones need other endpoints. */
-const scanLimit = 32;
+/** Interval between two checks of the waiting requests against their deadlines. */
+const deadlineCheckIntervalMilliseconds = 25;
+/** Waiting requests tried per freed slot. Bounds the work when the first requests in the queue need other endpoints. */
+const slotScanLimit = 32;
 
 /**
- * Gives endpoints to requests: by priority, then by fair shares between teams, then in order of arrival.
- * A request whose expected wait passes its deadline is refused at once, before any endpoint has seen it.
+ * Assigns endpoint slots to requests: by priority, then by weighted fair queuing between teams, then in order of arrival.
+ * Rejects a request at once, before it is sent to any endpoint, when its expected wait exceeds its queue deadline.
  */
 export class AdmissionQueue implements EndpointListener {
     private readonly groups = new Map<string, GroupQueue>();
@@ -28,7 +28,7 @@
         private readonly selector: EndpointSelector,
         private readonly metrics: Metrics,
     ) {
-        this.timer = setInterval(() => this.checkDeadlines(), checkIntervalMilliseconds).unref();
+        this.timer = setInterval(() => this.checkDeadlines(), deadlineCheckIntervalMilliseconds).unref();
         registry.addListener(this);
     }
 
@@ -36,7 +36,10 @@
         return new AdmissionQueue(clock, registry, selector, metrics);
     }
 
-    /** Waits for an endpoint with room. The caller must give the slot back with releaseSlot. */
+    /**
+     * Waits for a free slot at an endpoint; the caller of this method must return it with releaseSlot. Fails with verdict
+     * NotRun when the request is cancelled, when its expected wait exceeds its queue deadline or when the queue is full.
+     */
     async acquireSlot(request: SlotRequest): Promise<Result<EndpointEntry, Failure>> {
         const group = this.getGroup(request.query.group);
         if (request.signal.aborted) {
@@ -49,28 +52,28 @@
                 return Ok(entry);
             }
         }
-        const refusal = this.checkQueue(group, request);
+        const refusal = this.checkAdmission(group, request);
         if (refusal !== undefined) {
             return Err(refusal);
         }
         return this.waitForSlot(group, request);
     }
 
-    /** Gives a slot back. */
+    /** Returns a slot that acquireSlot assigned. */
     releaseSlot(entry: EndpointEntry): void {
         this.getGroup(entry.description.group).recordRelease(this.clock.getMonotonicTime());
         this.registry.removeAttempt(entry);
     }
 
     handleLeaving(): void {
-        // Attempts at a leaving endpoint are moved by the stream mover; nothing waits for one endpoint here.
+        // StreamMover moves the attempts of a leaving endpoint; no request in this queue waits for a particular endpoint.
     }
 
-    handleRoom(groupName: string): void {
+    handleFreeCapacity(groupName: string): void {
         this.assignSlots(this.getGroup(groupName));
     }
 
-    /** Returns how many requests of each service wait. */
+    /** Returns the number of waiting requests by service. */
     countWaiting(): Map<string, number> {
         const counts = new Map<string, number>();
         for (const group of this.groups.values()) {
@@ -95,12 +98,14 @@
         return group;
     }
 
+    /** Charges the request's team and counts the attempt at the endpoint. */
     private startSlot(group: GroupQueue, request: SlotRequest, entry: EndpointEntry): void {
         group.recordWork(request);
         this.registry.addAttempt(entry);
     }
 
-    private checkQueue(group: GroupQueue, request: SlotRequest): Failure | undefined {
+    /** Returns the reason to refuse a request before it waits, or undefined if it may wait. */
+    private checkAdmission(group: GroupQueue, request: SlotRequest): Failure | undefined {
         if (request.isContinuation) {
             return undefined;
         }
@@ -109,7 +114,7 @@
         if (wait > remaining) {
             return createWaitRefusal(wait, remaining);
         }
-        if (group.countService(request.service) >= request.queueLimit) {
+        if (group.countServiceWaiters(request.service) >= request.queueLimit) {
             const failure = Failure.create(Verdict.NotRun, Diagnostics.Queue_of_service_0_is_full, request.service);
             return failure.setRetryAfter(wait / millisecondsPerSecond);
         }
@@ -121,7 +126,7 @@
             const waiter: Waiter = {
                 request,
                 enteredAt: this.clock.getMonotonicTime(),
-                settle: result => {
+                finish: result => {
                     group.removeWaiter(waiter);
                     request.signal.removeEventListener("abort", handleAbort);
                     this.metrics.queued.dec({ service: request.service });
@@ -132,7 +137,7 @@
                     resolve(result);
                 },
             };
-            const handleAbort = () => waiter.settle(Err(Failure.create(Verdict.NotRun, Diagnostics.Caller_closed_the_connection)));
+            const handleAbort = () => waiter.finish(Err(Failure.create(Verdict.NotRun, Diagnostics.Caller_closed_the_connection)));
             request.signal.addEventListener("abort", handleAbort, { once: true });
             this.metrics.queued.inc({ service: request.service });
             group.addWaiter(waiter);
@@ -142,14 +147,14 @@
     private assignSlots(group: GroupQueue): void {
         let tried = 0;
         for (const waiter of group.listWaiters()) {
-            if (tried >= scanLimit) {
+            if (tried >= slotScanLimit) {
                 return;
             }
             tried += 1;
             const entry = this.selector.selectEndpoint(waiter.request.query);
             if (entry !== undefined) {
                 this.startSlot(group, waiter.request, entry);
-                waiter.settle(Ok(entry));
+                waiter.finish(Ok(entry));
             }
         }
     }
@@ -157,7 +162,7 @@
     private checkDeadlines(): void {
         const now = this.clock.getMonotonicTime();
         for (const group of this.groups.values()) {
-            // A suspect endpoint becomes eligible again as time passes, without an event.
+            // A suspect endpoint becomes eligible again after a time, without an event, so slots are also assigned here.
             this.assignSlots(group);
             for (const waiter of group.listWaiters()) {
                 this.checkWaiter(group, waiter, now);
@@ -168,7 +173,7 @@
     private checkWaiter(group: GroupQueue, waiter: Waiter, now: number): void {
         const remaining = waiter.request.queueDeadline - now;
         if (remaining <= 0) {
-            waiter.settle(Err(createWaitRefusal(now - waiter.enteredAt, remaining)));
+            waiter.finish(Err(createWaitRefusal(now - waiter.enteredAt, remaining)));
             return;
         }
         if (waiter.request.isContinuation) {
@@ -176,7 +181,7 @@
         }
         const wait = group.computeWait(waiter.request, now);
         if (wait > remaining) {
-            waiter.settle(Err(createWaitRefusal(wait, remaining)));
+            waiter.finish(Err(createWaitRefusal(wait, remaining)));
         }
     }
 }
--- a/src/requests/commands/attemptRun.ts
+++ b/src/requests/commands/attemptRun.ts
@@ -11,65 +11,65 @@
 import { ActiveAttempt, EndpointEntry } from "../endpointRegistry.js";
 import { RequestRecord } from "../requestRecord.js";
 import { AttemptOutcome, AttemptRecord } from "../types.js";
-import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerParts } from "./modelRequestParts.js";
+import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerDependencies } from "./modelRequestParts.js";
 
-/** Tokens that a request under suspicion must emit past the point of the death to be cleared. */
-const probationTokens = 8;
-/** Target of the time between two tokens, in milliseconds. */
-export const tokenGapTargetMilliseconds = 45;
+/** Tokens that an attempt of a suspect request must emit before the request is cleared of the earlier crash. */
+const probationTokenCount = 8;
+/** Target for the time between two tokens. */
+export const tokenIntervalTargetMilliseconds = 45;
 const priorityNumbers: Record<Priority, number> = { [Priority.Lookup]: 0, [Priority.Effect]: 1, [Priority.Draft]: 2 };
 
-/** One attempt at one endpoint. */
+/** Runs one attempt of a generation at one endpoint: passes its tokens to the request record and records its outcome. */
 export class AttemptRun implements TokenSink, ActiveAttempt {
     readonly requestId: string;
     readonly fingerprint: string;
     readonly record: AttemptRecord;
-    private readonly abort = new AbortController();
+    private readonly abortController = new AbortController();
     private readonly span: Span;
     private readonly startedAt: number;
-    private readonly startLoad: number;
-    private readonly betweenTokens: { observe(value: number): void; };
+    private readonly loadShareAtStart: number;
+    private readonly tokenIntervalHistogram: { observe(value: number): void; };
     private exportedCache: Promise<string | undefined> | undefined;
-    private emitted = 0;
+    private emittedCount = 0;
     private firstTokenAt: number | undefined;
     private lastTokenAt: number | undefined;
-    private readonly handleCancel = () => this.abort.abort();
+    private readonly handleCancel = () => this.abortController.abort();
 
     private constructor(
-        private readonly parts: ModelRequestRunnerParts,
+        private readonly dependencies: ModelRequestRunnerDependencies,
         private readonly request: RequestRecord,
         private readonly service: ServiceDeclaration,
         readonly entry: EndpointEntry,
         version: string,
-        private releaseLane: (() => void) | undefined,
+        private releaseLock: (() => void) | undefined,
     ) {
         this.requestId = request.request.id;
         this.fingerprint = request.request.fingerprint;
-        this.betweenTokens = parts.metrics.betweenTokens.labels({ service: service.name });
-        this.startLoad = parts.registry.getLoadShare(entry);
-        this.startedAt = parts.clock.getMonotonicTime();
-        this.span = parts.tracing.startChildSpan("endpoint", request.span);
+        this.tokenIntervalHistogram = dependencies.metrics.betweenTokens.labels({ service: service.name });
+        this.loadShareAtStart = dependencies.registry.getLoadShare(entry);
+        this.startedAt = dependencies.clock.getMonotonicTime();
+        this.span = dependencies.tracing.startChildSpan("endpoint", request.span);
         this.span.setAttributes({ "corianderward.endpoint": entry.name, "corianderward.version": version });
         const offset = request.tokens.length;
-        this.record = request.history.addAttempt(createIdentifier(), entry.name, version, parts.clock.getWallTime(), offset);
+        this.record = request.history.addAttempt(createIdentifier(), entry.name, version, dependencies.clock.getWallTime(), offset);
         request.startAttempt(this.record);
         request.cancellation.signal.addEventListener("abort", this.handleCancel, { once: true });
         entry.attempts.add(this);
     }
 
     static create(
-        parts: ModelRequestRunnerParts,
+        dependencies: ModelRequestRunnerDependencies,
         request: RequestRecord,
         service: ServiceDeclaration,
         entry: EndpointEntry,
         version: string,
-        releaseLane: (() => void) | undefined,
+        releaseLock: (() => void) | undefined,
     ): AttemptRun {
-        return new AttemptRun(parts, request, service, entry, version, releaseLane);
+        return new AttemptRun(dependencies, request, service, entry, version, releaseLock);
     }
 
-    get holdsSuspectLane(): boolean {
-        return this.releaseLane !== undefined;
+    get holdsSuspectLock(): boolean {
+        return this.releaseLock !== undefined;
     }
 
     async runGeneration(model: string, cacheHandle: string | undefined): Promise<Result<GenerationEnd, Failure>> {
@@ -88,45 +88,45 @@
             emittedTokens: [...this.request.tokens],
             cacheHandle,
             silenceLimit: this.service.silenceLimit,
-            connectTimeout: this.parts.connectTimeout,
-            traceHeaders: this.parts.tracing.createHeaders(this.span),
+            connectTimeout: this.dependencies.connectTimeout,
+            traceHeaders: this.dependencies.tracing.createHeaders(this.span),
         };
-        return this.parts.client.runGeneration(this.entry.description.address, attempt, this, this.abort.signal);
+        return this.dependencies.client.runGeneration(this.entry.description.address, attempt, this, this.abortController.signal);
     }
 
     appendToken(text: string): void {
-        const now = this.parts.clock.getMonotonicTime();
+        const now = this.dependencies.clock.getMonotonicTime();
         if (!this.request.appendToken(this.record.attemptId, text)) {
-            this.parts.metrics.lateAnswers.inc({ service: this.service.name });
+            this.dependencies.metrics.lateAnswers.inc({ service: this.service.name });
             return;
         }
-        this.emitted += 1;
+        this.emittedCount += 1;
         if (this.firstTokenAt === undefined) {
             this.recordFirstToken(now);
         }
         else {
-            this.betweenTokens.observe((now - (this.lastTokenAt as number)) / millisecondsPerSecond);
+            this.tokenIntervalHistogram.observe((now - (this.lastTokenAt as number)) / millisecondsPerSecond);
         }
         this.lastTokenAt = now;
-        if (this.emitted === probationTokens && this.releaseLane !== undefined) {
+        if (this.emittedCount === probationTokenCount && this.releaseLock !== undefined) {
             this.finishProbation();
         }
     }
 
-    countTokens(): number {
+    countTokensToRecompute(): number {
         return this.request.tokens.length + this.request.request.prompt.length / charactersPerToken;
     }
 
-    countEmitted(): number {
-        return this.emitted;
+    countEmittedTokens(): number {
+        return this.emittedCount;
     }
 
     countRemainingTokens(): number {
         return this.request.request.maxTokens - this.request.tokens.length;
     }
 
-    getTokenTime(): number {
-        return this.getMeanGap() ?? tokenGapTargetMilliseconds;
+    getTokenInterval(): number {
+        return this.getMeanTokenInterval() ?? tokenIntervalTargetMilliseconds;
     }
 
     startMove(): void {
@@ -134,7 +134,7 @@
             return;
         }
         this.exportedCache = this.exportCache();
-        void this.exportedCache.then(() => this.abort.abort());
+        void this.exportedCache.then(() => this.abortController.abort());
     }
 
     isMoved(): boolean {
@@ -145,24 +145,24 @@
         return this.exportedCache;
     }
 
-    /** Records how the attempt ended. */
+    /** Records the attempt's outcome in the request history, the metrics and the trace. */
     finish(outcome: AttemptOutcome, verdict: Verdict, text: string): void {
-        this.request.history.finishAttempt(this.record, outcome, verdict, text, this.parts.clock.getWallTime());
-        this.parts.metrics.attempts.inc({ service: this.service.name, outcome });
-        this.parts.metrics.tokens.inc({ service: this.service.name }, this.emitted);
+        this.request.history.finishAttempt(this.record, outcome, verdict, text, this.dependencies.clock.getWallTime());
+        this.dependencies.metrics.attempts.inc({ service: this.service.name, outcome });
+        this.dependencies.metrics.tokens.inc({ service: this.service.name }, this.emittedCount);
         if (outcome === AttemptOutcome.Failed) {
-            this.parts.tracing.recordFailure(this.span, text);
+            this.dependencies.tracing.recordFailure(this.span, text);
         }
         this.span.end();
     }
 
-    /** Tells the judge of versions what the attempt showed. */
-    recordObservation(succeeded: boolean, parts: ModelRequestRunnerParts): void {
-        const gap = this.getMeanGap();
-        if (gap !== undefined) {
-            this.entry.limit.recordGap(gap, tokenGapTargetMilliseconds, parts.clock.getMonotonicTime());
+    /** Reports the attempt's result and timing to the concurrency limit and the version observer. */
+    recordObservation(succeeded: boolean, dependencies: ModelRequestRunnerDependencies): void {
+        const meanTokenInterval = this.getMeanTokenInterval();
+        if (meanTokenInterval !== undefined) {
+            this.entry.limit.recordTokenInterval(meanTokenInterval, tokenIntervalTargetMilliseconds, dependencies.clock.getMonotonicTime());
         }
-        parts.observer.recordObservation({
+        dependencies.observer.recordObservation({
             service: this.service.name,
             version: this.record.version,
             team: this.request.request.team,
@@ -171,22 +171,22 @@
             succeeded,
             isComplete: this.request.tokens.length >= this.request.request.maxTokens,
             firstToken: this.firstTokenAt === undefined ? undefined : this.firstTokenAt - this.startedAt,
-            betweenTokens: gap,
-            load: this.startLoad,
+            betweenTokens: meanTokenInterval,
+            load: this.loadShareAtStart,
         });
     }
 
-    /** Gives back the slot and the lane; the last step of an attempt. */
+    /** Releases the slot and the suspect lock. Must be the last call on an attempt. */
     stop(): void {
         this.request.cancellation.signal.removeEventListener("abort", this.handleCancel);
         this.entry.attempts.delete(this);
-        this.releaseLane?.();
-        this.releaseLane = undefined;
-        this.parts.admission.releaseSlot(this.entry);
+        this.releaseLock?.();
+        this.releaseLock = undefined;
+        this.dependencies.admission.releaseSlot(this.entry);
     }
 
     private async exportCache(): Promise<string | undefined> {
-        const exported = await this.parts.client.exportCache(
+        const exported = await this.dependencies.client.exportCache(
             this.entry.description.address,
             this.record.attemptId,
             exportTimeLimitMilliseconds,
@@ -199,21 +199,22 @@
         if (this.request.firstTokenAt !== undefined) {
             return;
         }
-        this.request.firstTokenAt = this.parts.clock.getWallTime();
+        this.request.firstTokenAt = this.dependencies.clock.getWallTime();
         const wait = (this.request.firstTokenAt - this.request.request.arrivedAt) / millisecondsPerSecond;
-        this.parts.metrics.firstToken.observe({ service: this.service.name }, wait);
+        this.dependencies.metrics.firstToken.observe({ service: this.service.name }, wait);
     }
 
+    /** Clears the request of the earlier crash and releases the suspect lock. */
     private finishProbation(): void {
-        this.parts.ledger.removeSuspicion(this.fingerprint);
-        this.releaseLane?.();
-        this.releaseLane = undefined;
+        this.dependencies.ledger.removeSuspicion(this.fingerprint);
+        this.releaseLock?.();
+        this.releaseLock = undefined;
     }
 
-    private getMeanGap(): number | undefined {
-        if (this.firstTokenAt === undefined || this.lastTokenAt === undefined || this.emitted < 2) {
+    private getMeanTokenInterval(): number | undefined {
+        if (this.firstTokenAt === undefined || this.lastTokenAt === undefined || this.emittedCount < 2) {
             return undefined;
         }
-        return (this.lastTokenAt - this.firstTokenAt) / (this.emitted - 1);
+        return (this.lastTokenAt - this.firstTokenAt) / (this.emittedCount - 1);
     }
 }
--- a/src/requests/commands/claimStore.ts
+++ b/src/requests/commands/claimStore.ts
@@ -9,22 +9,22 @@
 import { ObjectStore } from "../../provider/objectStore.js";
 import { StoredObject, WriteOutcome } from "../../provider/types.js";
 
-/** Largest answer that is kept with a claim, in bytes. */
-const storedAnswerBytes = 65_536;
-/** Pause before a read or removal of a claim is tried again, in milliseconds. */
+/** Largest response body that is stored with a claim, in bytes. */
+const storedResponseLimitBytes = 65_536;
+/** Pause before a read or removal of a claim is retried. */
 const retryPauseMilliseconds = 200;
-const settleTries = 3;
-const cleanupTries = 50;
-const longestPauseFactor = 25;
+const resolveAttemptLimit = 3;
+const cleanupAttemptLimit = 50;
+const maximumPauseFactor = 25;
 
-/** How far the call behind a claim has come. */
+/** Progress of the call that a claim protects. */
 export enum ClaimState {
-    /** The call may have run; nothing more is known. */
+    /** The call may have run; its outcome is unknown. */
     Claimed = "claimed",
-    /** The call ran and its answer is stored. */
+    /** The call ran and its response is stored. */
     Done = "done",
-    /** The call ran; its answer was too large to store. */
-    DoneWithoutAnswer = "done-without-answer",
+    /** The call ran; its response was too large to store. */
+    DoneWithoutResponse = "done-without-answer",
 }
 
 const claimSchema = z.object({
@@ -41,7 +41,7 @@
 });
 type Claim = z.infer<typeof claimSchema>;
 
-/** What is to be claimed. */
+/** The idempotency key to claim and the call it belongs to. */
 export interface ClaimRequest {
     readonly service: string;
     readonly key: string;
@@ -52,46 +52,49 @@
     readonly retentionSeconds: number;
 }
 
-/** How an attempt to claim a key ended. */
+/** Outcome of an attempt to claim a key. */
 export enum ClaimOutcome {
-    /** The key is ours: the call may be dispatched. */
+    /** This node holds the claim: the call may be dispatched. */
     Claimed = "claimed",
-    /** An earlier call with the key ran; its answer is at hand. */
-    AnswerStored = "answer-stored",
-    /** The call must not be dispatched. */
+    /** An earlier call with the key ran; its stored response is returned. */
+    ResponseStored = "answer-stored",
+    /** The call must not be dispatched; the failure gives the reason. */
     Refused = "refused",
-    /** The platform cannot be reached; another node may reach it. */
+    /** This node cannot reach the platform's object store; another node may. */
     PlatformUnreachable = "platform-unreachable",
 }
 
-/** An answer kept with a claim. */
-export interface StoredAnswer {
+/** A response stored with a claim. */
+export interface StoredResponse {
     readonly status: number;
     readonly contentType: string | undefined;
     readonly body: Buffer;
 }
 
-/** The result of claiming a key. */
+/** Result of claiming a key: a claim, a stored response or a failure, depending on the outcome. */
 export interface ClaimResult {
     readonly outcome: ClaimOutcome;
-    readonly claim?: HeldClaim;
-    readonly answer?: StoredAnswer;
+    readonly claim?: OwnedClaim;
+    readonly response?: StoredResponse;
     readonly failure?: Failure;
 }
 
-/** A claim that this node created. */
-export interface HeldClaim {
+/** A claim that this node created, with the revision that a conditional write must name. */
+export interface OwnedClaim {
     readonly name: string;
     readonly value: Claim;
     readonly revision: number;
 }
 
-/** Returns the object name of a claim. Keys are hashed, since callers choose them freely. */
+/** Returns the object name of a claim. The key is hashed, since callers may use any characters in it. */
 export function createClaimName(service: string, team: string, key: string): string {
     return `claims/${service}/${hashSha256(`${team}\n${key}`)}`;
 }
 
-/** Creates, settles and removes the claims that keep calls from running twice. A claim is never taken over. */
+/**
+ * Stores claims on idempotency keys with the platform, so that a call that is not idempotent is dispatched at most once.
+ * A claim never passes to another attempt.
+ */
 export class ClaimStore {
     private readonly stopping = new AbortController();
 
@@ -106,7 +109,7 @@
         return new ClaimStore(store, clock, metrics, logger);
     }
 
-    /** Ends the work in the background. */
+    /** Stops the removals that run in the background. */
     stop(): void {
         this.stopping.abort();
     }
@@ -126,56 +129,58 @@
         const created = await this.store.createObject(name, value);
         const result = created.ok
             ? { outcome: ClaimOutcome.Claimed, claim: { name, value, revision: created.val } }
-            : await this.settleFailedCreate(name, value, created.val.outcome);
+            : await this.resolveFailedCreate(name, value, created.val.outcome);
         this.metrics.claims.inc({ service: request.service, outcome: result.outcome });
         return result;
     }
 
-    /** Stores the answer of a call that ran, so that a resend gets it. */
-    async storeAnswer(claim: HeldClaim, answer: StoredAnswer): Promise<void> {
-        const isSmall = answer.body.length <= storedAnswerBytes;
+    /** Stores the response of a call that ran, so that a retry with the same key receives it. */
+    async storeResponse(claim: OwnedClaim, response: StoredResponse): Promise<void> {
+        const isSmall = response.body.length <= storedResponseLimitBytes;
         const value: Claim = {
             ...claim.value,
-            state: isSmall ? ClaimState.Done : ClaimState.DoneWithoutAnswer,
-            status: answer.status,
-            content_type: answer.contentType,
-            body_base64: isSmall ? answer.body.toString("base64") : undefined,
+            state: isSmall ? ClaimState.Done : ClaimState.DoneWithoutResponse,
+            status: response.status,
+            content_type: response.contentType,
+            body_base64: isSmall ? response.body.toString("base64") : undefined,
         };
         const written = await this.store.replaceObject(claim.name, value, claim.revision);
         if (written.err) {
-            // The claim stays; a resend is told that the call may have run, which is true.
-            this.logger.warn("answer was not stored with its claim", { claim: claim.name, outcome: written.val.outcome });
+            // The claim stays, so a retry gets the verdict MayHaveRun, which is correct.
+            this.logger.warn("response was not stored with its claim", { claim: claim.name, outcome: written.val.outcome });
         }
     }
 
-    /** Removes a claim whose call is known not to have run, so that a resend can run. */
-    async releaseClaim(claim: HeldClaim): Promise<void> {
+    /** Removes the claim of a call that certainly did not run, so that a retry can run. */
+    async releaseClaim(claim: OwnedClaim): Promise<void> {
         const removed = await this.store.removeObject(claim.name, claim.revision);
         if (removed.err && removed.val.outcome !== WriteOutcome.Conflict) {
-            void this.removeLater(claim.name, claim.value.attempt_id);
+            void this.removeInBackground(claim.name, claim.value.attempt_id);
         }
     }
 
-    private async settleFailedCreate(name: string, value: Claim, outcome: WriteOutcome): Promise<ClaimResult> {
+    /** Determines the outcome of a create that failed, by reading the claim back unless it was certainly not written. */
+    private async resolveFailedCreate(name: string, value: Claim, outcome: WriteOutcome): Promise<ClaimResult> {
         if (outcome === WriteOutcome.NotWritten) {
             return { outcome: ClaimOutcome.PlatformUnreachable };
         }
-        // Either the claim exists, or the answer was lost and it may be ours: reading it back tells.
-        for (let count = 0; count < settleTries; count += 1) {
+        // Either another claim exists, or the store's response was lost and this claim may have been written: read it back.
+        for (let count = 0; count < resolveAttemptLimit; count += 1) {
             const found = await this.store.getObject(name);
             if (found.ok && found.val !== undefined) {
                 return this.compareClaim(found.val, name, value);
             }
             if (found.ok && outcome === WriteOutcome.Unknown) {
-                // Not there now, but a write without an answer may still arrive: do not dispatch on it.
+                // The claim is absent, but the write with the unknown outcome may still take effect: do not dispatch the call.
                 break;
             }
             await this.clock.sleep(retryPauseMilliseconds);
         }
-        void this.removeLater(name, value.attempt_id);
+        void this.removeInBackground(name, value.attempt_id);
         return { outcome: ClaimOutcome.PlatformUnreachable };
     }
 
+    /** Derives the outcome from the stored claim: this attempt's own, or that of an earlier call with the same key. */
     private compareClaim(found: StoredObject, name: string, value: Claim): ClaimResult {
         const parsed = claimSchema.safeParse(found.value);
         if (!parsed.success) {
@@ -191,18 +196,18 @@
         if (existing.state === ClaimState.Done) {
             const body = Buffer.from(existing.body_base64 ?? "", "base64");
             return {
-                outcome: ClaimOutcome.AnswerStored,
-                answer: { status: existing.status ?? 200, contentType: existing.content_type, body },
+                outcome: ClaimOutcome.ResponseStored,
+                response: { status: existing.status ?? 200, contentType: existing.content_type, body },
             };
         }
         const verdict = existing.state === ClaimState.Claimed ? Verdict.MayHaveRun : Verdict.Ran;
         return createRefusal(Failure.create(verdict, Diagnostics.Key_is_claimed_and_its_outcome_is_unknown));
     }
 
-    /** Removes a claim that was perhaps created for a call that was then refused. Best effort. */
-    private async removeLater(name: string, attemptId: string): Promise<void> {
-        for (let count = 0; count < cleanupTries && !this.stopping.signal.aborted; count += 1) {
-            await this.clock.sleep(retryPauseMilliseconds * Math.min(count + 1, longestPauseFactor), this.stopping.signal);
+    /** Removes a claim that may have been created for a call that was then refused. Best effort: gives up after a number of tries. */
+    private async removeInBackground(name: string, attemptId: string): Promise<void> {
+        for (let count = 0; count < cleanupAttemptLimit && !this.stopping.signal.aborted; count += 1) {
+            await this.clock.sleep(retryPauseMilliseconds * Math.min(count + 1, maximumPauseFactor), this.stopping.signal);
             const found = await this.store.getObject(name);
             if (found.err || found.val === undefined) {
                 continue;
@@ -219,7 +224,7 @@
     }
 }
 
-/** Returns the Unix milliseconds after which a claim may be removed, or undefined for an object that is no claim. */
+/** Returns the Unix time in milliseconds after which a claim may be removed, or undefined if the object is not a claim. */
 export function readClaimExpiry(object: StoredObject): number | undefined {
     const parsed = claimSchema.safeParse(object.value);
     if (!parsed.success) {
--- a/src/requests/commands/draftStore.ts
+++ b/src/requests/commands/draftStore.ts
@@ -11,12 +11,12 @@
 import { RequestRecord } from "../requestRecord.js";
 import { ModelRequest } from "../types.js";
 
-/** Pause before a write or read is tried again, in milliseconds. */
+/** First pause before a write or read is retried; storeEnd doubles it up to the maximum. */
 const retryPauseMilliseconds = 250;
-const longestRetryPauseMilliseconds = 5_000;
-const acceptTries = 4;
+const maximumRetryPauseMilliseconds = 5_000;
+const confirmAttemptLimit = 4;
 
-/** How far an asynchronous request has come. */
+/** Progress of an asynchronous request. */
 export enum DraftState {
     Pending = "pending",
     Done = "done",
@@ -39,7 +39,7 @@
 });
 type StoredDraft = z.infer<typeof draftSchema>;
 
-/** An asynchronous request as it is stored. */
+/** A stored asynchronous request, with the revision that a conditional write must name. */
 export interface Draft {
     readonly name: string;
     readonly revision: number;
@@ -53,18 +53,18 @@
     readonly failure: Failure | undefined;
 }
 
-/** Which node owns a stored request. */
+/** Node, in one incarnation, that runs a stored request. */
 export interface DraftOwner {
     readonly name: string;
     readonly incarnation: number;
 }
 
-/** Prefix of the objects that hold asynchronous requests of a failure domain. */
+/** Returns the prefix of the names of the objects that store a failure domain's asynchronous requests. */
 export function createDraftPrefix(failureDomain: string): string {
     return `drafts/${failureDomain}/`;
 }
 
-/** Stores asynchronous requests with the platform, so that they outlive the node that accepted them. */
+/** Stores asynchronous requests with the platform, so that another node can run them if the accepting node is lost. */
 export class DraftStore {
     private constructor(private readonly store: ObjectStore, private readonly clock: Clock, private readonly failureDomain: string) {}
 
@@ -72,7 +72,7 @@
         return new DraftStore(store, clock, failureDomain);
     }
 
-    /** Stores a new request; only then may it be accepted. Returns its revision. */
+    /** Stores a new request and returns its revision. A request must not be accepted before it is stored. */
     async storeRequest(request: ModelRequest, owner: DraftOwner): Promise<Result<number, Failure>> {
         const name = this.createName(request.id);
         const value: StoredDraft = createStoredDraft(request, owner);
@@ -81,12 +81,12 @@
             return created;
         }
         if (created.val.outcome === WriteOutcome.Unknown) {
-            return this.settleLostAnswer(name);
+            return this.resolveUnknownCreate(name);
         }
         return Err(createPlatformFailure(created.val.failure.text));
     }
 
-    /** Returns a stored request of this failure domain, or undefined when there is none. */
+    /** Returns a stored request of this failure domain, or undefined if none exists or the object cannot be parsed. */
     async findDraft(requestId: string): Promise<Result<Draft | undefined, Failure>> {
         const found = await this.store.getObject(this.createName(requestId));
         if (found.err) {
@@ -95,19 +95,22 @@
         return Ok(found.val === undefined ? undefined : parseDraft(found.val));
     }
 
-    /** Returns the requests of this failure domain that have not ended. */
+    /** Returns the stored requests of this failure domain that are still pending. */
     async listPending(): Promise<Result<Draft[], Failure>> {
         const listed = await this.store.listObjects(createDraftPrefix(this.failureDomain));
         return listed.map(list => list.objects.map(parseDraft).filter(draft => draft?.state === DraftState.Pending) as Draft[]);
     }
 
-    /** Makes another node the owner; fails when someone else changed the request meanwhile. */
+    /** Stores a new owner and returns the new revision; fails if the request was changed since the draft was read. */
     async adoptDraft(draft: Draft, owner: DraftOwner): Promise<Result<number, Failure>> {
         const replaced = await this.store.replaceObject(draft.name, createStoredDraft(draft.request, owner), draft.revision);
         return replaced.mapErr(error => createPlatformFailure(error.failure.text));
     }
 
-    /** Stores the end of a request, for as long as it takes; stops when another node owns it or has ended it. */
+    /**
+     * Stores the end of a request and returns whether it was stored. Retries until it succeeds, the signal aborts, or the
+     * stored request is no longer pending or no longer belongs to the given owner.
+     */
     async storeEnd(record: RequestRecord, owner: DraftOwner, signal: AbortSignal): Promise<boolean> {
         let pause = retryPauseMilliseconds;
         while (!signal.aborted) {
@@ -123,7 +126,7 @@
                 }
             }
             await this.clock.sleep(pause, signal);
-            pause = Math.min(longestRetryPauseMilliseconds, pause * 2);
+            pause = Math.min(maximumRetryPauseMilliseconds, pause * 2);
         }
         return false;
     }
@@ -132,15 +135,16 @@
         return createDraftPrefix(this.failureDomain) + requestId;
     }
 
-    private async settleLostAnswer(name: string): Promise<Result<number, Failure>> {
-        for (let count = 0; count < acceptTries; count += 1) {
+    /** Reads a draft back after a create with an unknown outcome; returns its revision if it exists. */
+    private async resolveUnknownCreate(name: string): Promise<Result<number, Failure>> {
+        for (let count = 0; count < confirmAttemptLimit; count += 1) {
             const found = await this.store.getObject(name);
             if (found.ok && found.val !== undefined) {
                 return Ok(found.val.revision);
             }
             await this.clock.sleep(retryPauseMilliseconds);
         }
-        // If the write arrives after all, the request runs unasked, which harms nobody: generations are idempotent.
+        // If the write takes effect later, the refused request still runs, which is harmless: generations are idempotent.
         return Err(createPlatformFailure("the request could not be stored"));
     }
 }
@@ -221,7 +225,7 @@
     return Failure.createFormatted(stored.failure_verdict ?? Verdict.MayHaveRun, message, stored.failure_text ?? message.text);
 }
 
-/** Returns the diagnostic with a code, or a general one for a code that this version does not know. */
+/** Returns the diagnostic with a code, or the lost-connection diagnostic if this program version does not define the code. */
 export function findMessage(code: number | undefined): DiagnosticMessage {
     const messages: DiagnosticMessage[] = Object.values(Diagnostics);
     return messages.find(message => message.code === code) ?? Diagnostics.Connection_was_lost_after_the_request_was_sent_0;
--- a/src/requests/commands/endpointProbe.ts
+++ b/src/requests/commands/endpointProbe.ts
@@ -5,22 +5,22 @@
 import { ActiveAttempt, EndpointEntry, EndpointRegistry } from "../endpointRegistry.js";
 import { QuarantineLedger } from "../quarantineLedger.js";
 
-/** Time limit of a probe, in milliseconds. */
+/** Time limit of a probe. */
 const probeTimeLimitMilliseconds = 400;
 
-/** What a probe on a new connection showed. */
+/** Result of a probe over a new connection. */
 export enum ProbeResult {
-    /** The endpoint answers: only the connection was lost. */
-    Alive = "alive",
-    /** The endpoint refuses connections. */
-    Dead = "dead",
-    /** Nothing came back in time. */
+    /** The endpoint responded: only the earlier connection was lost. */
+    Reachable = "alive",
+    /** The endpoint refused the connection: its process has ended. */
+    Crashed = "dead",
+    /** The endpoint did not respond within the time limit. */
     Unreachable = "unreachable",
 }
 
-/** Finds out, after a lost connection, whether the endpoint died, and records who may have caused it. */
+/** Checks after a lost connection whether the endpoint crashed, and records the requests that may have caused the crash. */
 export class EndpointProbe {
-    private readonly pending = new Map<string, Promise<ProbeResult>>();
+    private readonly probesByEndpoint = new Map<string, Promise<ProbeResult>>();
 
     private constructor(
         private readonly client: ModelEndpointClient,
@@ -38,14 +38,14 @@
         return new EndpointProbe(client, registry, ledger, notifier);
     }
 
-    /** Probes an endpoint; concurrent losses of one endpoint share one probe. */
+    /** Probes an endpoint. Concurrent calls for the same endpoint share one probe. */
     async checkEndpoint(entry: EndpointEntry): Promise<ProbeResult> {
-        const existing = this.pending.get(entry.name);
+        const existing = this.probesByEndpoint.get(entry.name);
         if (existing !== undefined) {
             return existing;
         }
-        const probe = this.runProbe(entry).finally(() => this.pending.delete(entry.name));
-        this.pending.set(entry.name, probe);
+        const probe = this.runProbe(entry).finally(() => this.probesByEndpoint.delete(entry.name));
+        this.probesByEndpoint.set(entry.name, probe);
         return probe;
     }
 
@@ -54,29 +54,32 @@
         const load = await this.client.fetchLoad(entry.description.address, probeTimeLimitMilliseconds);
         if (load.ok) {
             this.registry.recordLoad(entry.name, load.val, 0);
-            return ProbeResult.Alive;
+            return ProbeResult.Reachable;
         }
-        const isDead = load.val.verdict === Verdict.NotRun;
-        this.registry.recordFailure(entry, isDead ? EndpointEvidence.Death : EndpointEvidence.ConnectionFailure);
-        if (!isDead) {
+        const hasCrashed = load.val.verdict === Verdict.NotRun;
+        this.registry.recordFailure(entry, hasCrashed ? EndpointEvidence.Death : EndpointEvidence.ConnectionFailure);
+        if (!hasCrashed) {
             return ProbeResult.Unreachable;
         }
         if (entry.state !== EndpointState.Leaving) {
-            await this.recordDeath(entry, attempts);
+            await this.recordCrash(entry, attempts);
         }
-        return ProbeResult.Dead;
+        return ProbeResult.Crashed;
     }
 
-    private async recordDeath(entry: EndpointEntry, attempts: readonly ActiveAttempt[]): Promise<void> {
-        // A suspect that got past the point of the earlier death does not cause this one.
-        const present = attempts.filter(attempt => attempt.countEmitted() === 0 || !this.ledger.isSuspect(attempt.fingerprint));
-        // A request that ran alone under suspicion explains the death; those beside it are not counted.
-        const proven = present.filter(attempt => attempt.holdsSuspectLane);
-        const counted = proven.length > 0 ? proven : present;
-        for (const attempt of counted) {
+    /** Counts the crash against the requests that may have caused it, and sends the counts to peers at once. */
+    private async recordCrash(entry: EndpointEntry, attempts: readonly ActiveAttempt[]): Promise<void> {
+        // A suspect request that has emitted tokens got past the point of the earlier crash and is not the cause of this one.
+        const possibleCauses = attempts.filter(attempt =>
+            attempt.countEmittedTokens() === 0 || !this.ledger.isSuspect(attempt.fingerprint)
+        );
+        // A request that holds the suspect lock explains the crash, so the requests beside it are not counted.
+        const lockHolders = possibleCauses.filter(attempt => attempt.holdsSuspectLock);
+        const assumedCauses = lockHolders.length > 0 ? lockHolders : possibleCauses;
+        for (const attempt of assumedCauses) {
             this.ledger.recordDeath(attempt.fingerprint, entry.name);
         }
-        if (counted.length > 0) {
+        if (assumedCauses.length > 0) {
             await this.notifier.sendUrgentDigest();
         }
     }
--- a/src/requests/commands/groupQueue.ts
+++ b/src/requests/commands/groupQueue.ts
@@ -4,50 +4,50 @@
 import { EndpointEntry } from "../endpointRegistry.js";
 import { EndpointQuery } from "../queries/endpointSelector.js";
 
-/** A request that needs an endpoint. Times are monotonic milliseconds. */
+/** A request for an endpoint slot. Times are monotonic, in milliseconds. */
 export interface SlotRequest {
     readonly requestId: string;
     readonly service: string;
     readonly team: string;
-    /** The team's share of the capacity, relative to the other teams'. */
+    /** The team's weight in fair queuing, relative to the weights of the other teams. */
     readonly teamShare: number;
     readonly query: EndpointQuery;
-    /** Latest moment at which an endpoint is still of use. */
+    /** Time after which the request is refused if it still waits. */
     readonly queueDeadline: number;
-    /** Requests of the service that may wait. */
+    /** Maximum number of waiting requests of the service. */
     readonly queueLimit: number;
-    /** Whether the request has already run in part; such a request goes first and is never refused for its wait. */
+    /** Whether the request continues after an earlier attempt; it is served first at its priority and not refused for its wait. */
     readonly isContinuation: boolean;
-    /** Expected work, in tokens; a team pays its share by it. */
+    /** Expected work charged to the team in fair queuing: tokens of a generation, 1 for a call. */
     readonly expectedWork: number;
     readonly signal: AbortSignal;
 }
 
-/** A request that waits. */
+/** A waiting request and the function that ends its wait. The time is monotonic, in milliseconds. */
 export interface Waiter {
     readonly request: SlotRequest;
     readonly enteredAt: number;
-    readonly settle: (result: Result<EndpointEntry, Failure>) => void;
+    readonly finish: (result: Result<EndpointEntry, Failure>) => void;
 }
 
-/** The requests of one team that wait at one priority. */
+/** The waiting requests of one team at one priority. */
 interface TeamQueue {
     readonly team: string;
     readonly waiters: Waiter[];
-    /** Work done for the team, divided by its share; the team with the least goes first. */
+    /** Work charged to the team divided by its share; the team with the lowest value is served first. */
     virtualTime: number;
 }
 
 const priorityOrder: readonly Priority[] = [Priority.Lookup, Priority.Effect, Priority.Draft];
-/** Span over which the rate of freed slots is measured, in milliseconds. */
-const rateWindowMilliseconds = 4_000;
-const rateSampleLimit = 200;
+/** Sliding window over which the rate of released slots is measured. */
+const releaseRateWindowMilliseconds = 4_000;
+const releaseSampleLimit = 200;
 
-/** The requests that wait for the endpoints of one group. */
+/** Holds the requests that wait for the endpoints of one group, in the order of weighted fair queuing between teams. */
 export class GroupQueue {
     private readonly queues = new Map<Priority, Map<string, TeamQueue>>();
     private readonly virtualTimes = new Map<string, number>();
-    private readonly releases: number[] = [];
+    private readonly releaseTimes: number[] = [];
 
     private constructor() {
         priorityOrder.forEach(priority => this.queues.set(priority, new Map()));
@@ -57,6 +57,7 @@
         return new GroupQueue();
     }
 
+    /** Adds a waiting request; one that continues after an earlier attempt goes before its team's new requests. */
     addWaiter(waiter: Waiter): void {
         const queue = this.getTeamQueue(waiter.request);
         if (waiter.request.isContinuation) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Returns the waiters in the order in which they get slots. */
+    /** Returns the waiting requests in the order in which they are assigned slots. */
     listWaiters(): Waiter[] {
         const result: Waiter[] = [];
         for (const priority of priorityOrder) {
@@ -90,6 +91,7 @@
         return result;
     }
 
+    /** Returns whether requests that are served before this one are waiting. */
     hasWaitersBefore(request: SlotRequest): boolean {
         for (const priority of priorityOrder) {
             const teams = this.queues.get(priority) as Map<string, TeamQueue>;
@@ -103,7 +105,7 @@
         return false;
     }
 
-    countService(service: string): number {
+    countServiceWaiters(service: string): number {
         let count = 0;
         for (const waiter of this.listWaiters()) {
             count += waiter.request.service === service ? 1 : 0;
@@ -111,7 +113,7 @@
         return count;
     }
 
-    /** Charges a team for work that was given a slot. */
+    /** Charges a team for a request that was assigned a slot. */
     recordWork(request: SlotRequest): void {
         const key = `${request.query.priority}/${request.team}`;
         const start = Math.max(this.virtualTimes.get(key) ?? 0, this.getLowestVirtualTime(request.query.priority));
@@ -123,27 +125,28 @@
         }
     }
 
+    /** Records a released slot for the estimate of waits. The time is monotonic, in milliseconds. */
     recordRelease(now: number): void {
-        this.releases.push(now);
-        if (this.releases.length > rateSampleLimit) {
-            this.releases.shift();
+        this.releaseTimes.push(now);
+        if (this.releaseTimes.length > releaseSampleLimit) {
+            this.releaseTimes.shift();
         }
     }
 
-    /** Estimates how long a request has to wait, in milliseconds, from the rate at which slots came free lately. */
+    /** Estimates a request's wait in milliseconds from the recent rate of released slots; 0 with fewer than two releases. */
     computeWait(request: SlotRequest, now: number): number {
         const ahead = this.countAhead(request);
-        while (this.releases.length > 0 && now - (this.releases[0] as number) > rateWindowMilliseconds) {
-            this.releases.shift();
+        while (this.releaseTimes.length > 0 && now - (this.releaseTimes[0] as number) > releaseRateWindowMilliseconds) {
+            this.releaseTimes.shift();
         }
-        if (this.releases.length < 2) {
+        if (this.releaseTimes.length < 2) {
             return 0;
         }
-        const span = now - (this.releases[0] as number);
-        return (ahead + 1) * span / this.releases.length;
+        const span = now - (this.releaseTimes[0] as number);
+        return (ahead + 1) * span / this.releaseTimes.length;
     }
 
-    /** Counts the requests that get a slot before this one; of its own priority, each team only by its share. */
+    /** Estimates how many requests are served before this one; at its own priority, other teams count only by their shares. */
     private countAhead(request: SlotRequest): number {
         let ahead = 0;
         for (const priority of priorityOrder) {
@@ -184,7 +187,7 @@
     }
 }
 
-/** Lists the waiters of several teams as fair sharing would serve them. */
+/** Returns the waiting requests of several teams in weighted fair order. */
 function listInFairOrder(teams: readonly TeamQueue[]): Waiter[] {
     const cursors = teams.map(queue => ({ queue, next: 0, virtualTime: queue.virtualTime }));
     const result: Waiter[] = [];
@@ -215,17 +218,17 @@
 }
 
 function countAheadInPriority(teams: ReadonlyMap<string, TeamQueue>, request: SlotRequest): number {
-    let shares = request.teamShare;
-    let others = 0;
+    let totalShares = request.teamShare;
+    let otherTeamWaiterCount = 0;
     for (const queue of teams.values()) {
         if (queue.team !== request.team) {
-            shares += queue.waiters[0]?.request.teamShare ?? 0;
-            others += queue.waiters.length;
+            totalShares += queue.waiters[0]?.request.teamShare ?? 0;
+            otherTeamWaiterCount += queue.waiters.length;
         }
     }
-    const own = teams.get(request.team)?.waiters ?? [];
-    const position = own.findIndex(waiter => waiter.request === request);
-    const ownAhead = position < 0 ? own.length : position;
-    const fairAhead = ownAhead * shares / request.teamShare;
-    return Math.min(fairAhead, ownAhead + others);
+    const teamWaiters = teams.get(request.team)?.waiters ?? [];
+    const position = teamWaiters.findIndex(waiter => waiter.request === request);
+    const teamWaitersAhead = position < 0 ? teamWaiters.length : position;
+    const fairAhead = teamWaitersAhead * totalShares / request.teamShare;
+    return Math.min(fairAhead, teamWaitersAhead + otherTeamWaiterCount);
 }
--- a/src/requests/commands/handOver.ts
+++ b/src/requests/commands/handOver.ts
@@ -7,10 +7,10 @@
 import { RequestRecord } from "../requestRecord.js";
 import { RequestTable } from "../requestTable.js";
 
-/** Peers that are asked to take over one request. */
-const handoverTries = 3;
+/** Peers to which one request is offered. */
+const handoverPeerLimit = 3;
 
-/** Hands the requests that still run to other nodes when this one shuts down. */
+/** Hands over this node's running requests to peers when the node shuts down. */
 export class HandOver {
     private constructor(
         private readonly table: RequestTable,
@@ -24,26 +24,26 @@
         return new HandOver(table, directory, link, metrics, logger);
     }
 
-    /** Hands on every running request; returns how many no peer could take. */
+    /** Hands over every running request; returns the number of requests that no peer adopted. */
     async drainRequests(): Promise<number> {
-        const results = await Promise.all(this.table.listActive().map(record => this.handOver(record)));
-        const left = results.filter(isTaken => !isTaken).length;
+        const results = await Promise.all(this.table.listActive().map(record => this.handOverRequest(record)));
+        const left = results.filter(isAdopted => !isAdopted).length;
         this.logger.info("requests handed over", { handedOver: results.length - left, left });
         return left;
     }
 
-    private async handOver(record: RequestRecord): Promise<boolean> {
-        // From here on the record takes no more tokens, so that the peer goes on at exactly this place.
-        record.stopAppending();
+    private async handOverRequest(record: RequestRecord): Promise<boolean> {
+        // Buffer new tokens, so that the peer continues exactly after the tokens in the message.
+        record.startBuffering();
         const message = {
             requestId: record.request.id,
             fromNode: this.directory.identity.name,
             requestJson: JSON.stringify(encodeRequest(record.request)),
             tokens: [...record.tokens],
         };
-        for (const member of this.pickMembers(record.request.id)) {
-            const answer = await this.link.adoptRequest(member.address, message);
-            if (answer.ok && answer.val) {
+        for (const member of this.pickPeers(record.request.id)) {
+            const adopted = await this.link.adoptRequest(member.address, message);
+            if (adopted.ok && adopted.val) {
                 this.metrics.handovers.inc({ outcome: "adopted" });
                 record.isHandedOver = true;
                 record.cancellation.abort();
@@ -51,13 +51,13 @@
             }
         }
         this.metrics.handovers.inc({ outcome: "refused" });
-        record.resumeAppending();
+        record.flushBufferedTokens();
         return false;
     }
 
-    /** Returns the peers of the domain in the order in which any node would look for the request. */
-    private pickMembers(requestId: string): Member[] {
-        const live = this.directory.listLiveDomainMembers();
-        return selectByRendezvous(requestId, live, member => member.name).slice(0, handoverTries);
+    /** Returns the domain's peers for a request by rendezvous hashing, the order in which any node searches for the request. */
+    private pickPeers(requestId: string): Member[] {
+        const reachablePeers = this.directory.listLiveDomainMembers();
+        return selectByRendezvous(requestId, reachablePeers, member => member.name).slice(0, handoverPeerLimit);
     }
 }
--- a/src/requests/commands/loadObserver.ts
+++ b/src/requests/commands/loadObserver.ts
@@ -5,15 +5,15 @@
 import { EndpointEntry, EndpointRegistry } from "../endpointRegistry.js";
 import { PrefixIndex } from "../prefixIndex.js";
 
-/** Nodes of a failure domain that ask each of its endpoints for its load. */
+/** Nodes of a failure domain that poll the load of each of its endpoints. */
 const observersPerEndpoint = 2;
-/** Rounds between two questions for cache events. */
-const cacheEventRounds = 4;
+/** Load polls of an endpoint per poll of its cache events. */
+const roundsPerCacheEventPoll = 4;
 
-/** Asks the endpoints that this node observes for their load and their cache events. */
+/** Polls the load and the cache events of the endpoints assigned to this node, for the registry and the prefix index. */
 export class LoadObserver {
     private readonly stopping = new AbortController();
-    private readonly sequences = new Map<string, number>();
+    private readonly cacheEventSequenceByEndpoint = new Map<string, number>();
     private round = 0;
 
     private constructor(
@@ -22,31 +22,31 @@
         private readonly prefixIndex: PrefixIndex,
         private readonly directory: MemberDirectory,
         private readonly clock: Clock,
-        private readonly interval: number,
+        private readonly intervalMilliseconds: number,
     ) {}
 
-    /** The interval is in milliseconds. */
+    /** Creates an observer that polls once per interval. */
     static create(
         client: ModelEndpointClient,
         registry: EndpointRegistry,
         prefixIndex: PrefixIndex,
         directory: MemberDirectory,
         clock: Clock,
-        interval: number,
+        intervalMilliseconds: number,
     ): LoadObserver {
-        return new LoadObserver(client, registry, prefixIndex, directory, clock, interval);
+        return new LoadObserver(client, registry, prefixIndex, directory, clock, intervalMilliseconds);
     }
 
-    /** Runs until stop is called. */
+    /** Polls once per interval until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
             this.registry.setObserverCount(this.directory.listLiveDomainMembers().length + 1);
             for (const entry of this.listObserved()) {
-                // A silent endpoint must not hold up the others.
-                void this.observeEndpoint(entry);
+                // Not awaited: an endpoint that does not respond must not delay the polls of the others.
+                void this.pollEndpoint(entry);
             }
             this.round += 1;
-            await this.clock.sleep(this.interval, this.stopping.signal);
+            await this.clock.sleep(this.intervalMilliseconds, this.stopping.signal);
         }
     }
 
@@ -54,7 +54,7 @@
         this.stopping.abort();
     }
 
-    /** Returns the endpoints of this failure domain that this node observes. */
+    /** Returns the endpoints of this failure domain that rendezvous hashing assigns to this node. */
     listObserved(): EndpointEntry[] {
         const { identity } = this.directory;
         const observers = [identity.name, ...this.directory.listLiveDomainMembers().map(member => member.name)];
@@ -67,22 +67,26 @@
         });
     }
 
-    private async observeEndpoint(entry: EndpointEntry): Promise<void> {
-        const load = await this.client.fetchLoad(entry.description.address, this.interval);
+    private async pollEndpoint(entry: EndpointEntry): Promise<void> {
+        const load = await this.client.fetchLoad(entry.description.address, this.intervalMilliseconds);
         if (load.ok) {
             this.registry.recordLoad(entry.name, load.val, 0);
         }
-        if (load.ok && load.val.models.length > 0 && this.round % cacheEventRounds === 0) {
-            await this.observeCache(entry);
+        if (load.ok && load.val.models.length > 0 && this.round % roundsPerCacheEventPoll === 0) {
+            await this.pollCacheEvents(entry);
         }
     }
 
-    private async observeCache(entry: EndpointEntry): Promise<void> {
-        const events = await this.client.fetchCacheEvents(entry.description.address, this.sequences.get(entry.name) ?? 0, this.interval);
+    private async pollCacheEvents(entry: EndpointEntry): Promise<void> {
+        const events = await this.client.fetchCacheEvents(
+            entry.description.address,
+            this.cacheEventSequenceByEndpoint.get(entry.name) ?? 0,
+            this.intervalMilliseconds,
+        );
         if (events.err) {
             return;
         }
-        this.sequences.set(entry.name, events.val.sequence);
+        this.cacheEventSequenceByEndpoint.set(entry.name, events.val.sequence);
         events.val.stored.forEach(key => this.prefixIndex.addPrefix(key, entry.name));
         events.val.evicted.forEach(key => this.prefixIndex.removePrefix(key, entry.name));
     }
--- a/src/requests/commands/modelRequestParts.ts
+++ b/src/requests/commands/modelRequestParts.ts
@@ -14,13 +14,13 @@
 import { EndpointProbe } from "./endpointProbe.js";
 import { ShadowRunner } from "./shadowRunner.js";
 
-/** Time limit of the export of a KV cache, in milliseconds. */
+/** Time limit for exporting the KV cache of one attempt. */
 export const exportTimeLimitMilliseconds = 500;
-/** Characters of a prompt that are counted as one token. */
+/** Prompt characters that are estimated as one token. */
 export const charactersPerToken = 4;
 
-/** The parts of a node that running a generation needs. */
-export interface ModelRequestRunnerParts {
+/** Dependencies of the model request runner and of the attempts that it runs. */
+export interface ModelRequestRunnerDependencies {
     readonly clock: Clock;
     readonly metrics: Metrics;
     readonly logger: Logger;
--- a/src/requests/commands/modelRequestRunner.ts
+++ b/src/requests/commands/modelRequestRunner.ts
@@ -1,21 +1,21 @@
 import { ServiceDeclaration } from "../../config/types.js";
 import { RequestRecord } from "../requestRecord.js";
-import { ModelRequestRunnerParts } from "./modelRequestParts.js";
+import { ModelRequestRunnerDependencies } from "./modelRequestParts.js";
 import { RequestRun } from "./requestRun.js";
 
-/** Runs generations to their ends: one attempt after another, each going on where the one before it stopped. */
+/** Runs each generation to its end with successive attempts, each of which continues after the tokens of the previous one. */
 export class ModelRequestRunner {
-    private constructor(private readonly parts: ModelRequestRunnerParts) {}
+    private constructor(private readonly dependencies: ModelRequestRunnerDependencies) {}
 
-    static create(parts: ModelRequestRunnerParts): ModelRequestRunner {
-        return new ModelRequestRunner(parts);
+    static create(dependencies: ModelRequestRunnerDependencies): ModelRequestRunner {
+        return new ModelRequestRunner(dependencies);
     }
 
-    /** Runs a request until its record has an end. */
+    /** Runs a request until its record has ended. */
     async runRequest(record: RequestRecord, service: ServiceDeclaration): Promise<void> {
-        this.parts.budget.recordRequest();
-        const run = RequestRun.create(this.parts, record, service);
-        void this.parts.shadows.runShadows(record.request, service, run.version);
+        this.dependencies.budget.recordRequest();
+        const run = RequestRun.create(this.dependencies, record, service);
+        void this.dependencies.shadows.sendShadowRequests(record.request, service, run.version);
         try {
             await run.runAttempts();
         }
--- a/src/requests/commands/plainCallRunner.ts
+++ b/src/requests/commands/plainCallRunner.ts
@@ -18,29 +18,29 @@
 import { RetryBudget } from "../retryBudget.js";
 import { AttemptOutcome, PlainRequest, VersionObserver, VersionPolicy } from "../types.js";
 import { AdmissionQueue } from "./admissionQueue.js";
-import { ClaimOutcome, ClaimStore, HeldClaim } from "./claimStore.js";
+import { ClaimOutcome, ClaimStore, OwnedClaim } from "./claimStore.js";
 import { EndpointProbe } from "./endpointProbe.js";
 
-/** Most attempts at one call. */
+/** Maximum number of attempts of one call. */
 const attemptLimit = 6;
-/** Statuses by which a service says that it could not serve; an idempotent call is tried elsewhere. */
+/** HTTP statuses after which an idempotent call is retried at another endpoint. */
 const retriableStatuses: ReadonlySet<number> = new Set([502, 503, 504]);
 
-/** The answer of a call, and where it came from. */
+/** Response of a call, and whether the call ran now or earlier. */
 export interface PlainCallResult {
     readonly answer: PlainAnswer;
-    /** Whether the answer is that of an earlier call with the same key. */
+    /** Whether the response is the stored response of an earlier call with the same key. */
     readonly isReplayed: boolean;
 }
 
-/** Hands a call to a node that reaches the platform. */
+/** Forwards a call to a peer that can reach the platform. */
 export interface CallForwarder {
-    /** Returns undefined when no peer could take the call; the call was then not run. */
+    /** Returns undefined if no peer accepted the call; the call has not run in that case. */
     forwardCall(request: PlainRequest, history: RequestHistory): Promise<Result<PlainCallResult, Failure> | undefined>;
 }
 
-/** The parts of a node that running a call needs. */
-export interface PlainCallRunnerParts {
+/** Dependencies of the plain call runner. */
+export interface PlainCallRunnerDependencies {
     readonly clock: Clock;
     readonly metrics: Metrics;
     readonly tracing: Tracing;
@@ -55,24 +55,27 @@
     readonly forwarder: CallForwarder;
     readonly versions: VersionPolicy;
     readonly observer: VersionObserver;
+    /** In milliseconds. */
     readonly connectTimeout: number;
+    /** Largest response body accepted from an endpoint, in bytes. */
     readonly answerBytes: number;
 }
 
+/** Result of one attempt: a response of any status, or the failure. */
 interface CallAttempt {
-    readonly answer?: PlainAnswer;
+    readonly response?: PlainAnswer;
     readonly failure?: Failure;
 }
 
-/** Runs calls to plain services. Calls that may not be repeated are claimed first and dispatched at most once. */
+/** Runs calls to plain services. A call that is not idempotent is claimed first and then dispatched at most once. */
 export class PlainCallRunner {
-    private constructor(private readonly parts: PlainCallRunnerParts) {}
+    private constructor(private readonly dependencies: PlainCallRunnerDependencies) {}
 
-    static create(parts: PlainCallRunnerParts): PlainCallRunner {
-        return new PlainCallRunner(parts);
+    static create(dependencies: PlainCallRunnerDependencies): PlainCallRunner {
+        return new PlainCallRunner(dependencies);
     }
 
-    /** Runs a call to its end. A forwarded call is not forwarded again. */
+    /** Runs a call to its end. A call that a peer forwarded is not forwarded again. */
     async runCall(
         request: PlainRequest,
         service: ServiceDeclaration,
@@ -81,15 +84,15 @@
         signal: AbortSignal,
         isForwarded = false,
     ): Promise<Result<PlainCallResult, Failure>> {
-        if (this.parts.ledger.isQuarantined(request.fingerprint)) {
-            const deaths = this.parts.ledger.countDeaths(request.fingerprint);
-            this.parts.metrics.quarantines.inc({ service: service.name });
-            return Err(Failure.create(Verdict.NotRun, Diagnostics.Request_is_quarantined_after_0_endpoint_failures, deaths));
+        if (this.dependencies.ledger.isQuarantined(request.fingerprint)) {
+            const crashCount = this.dependencies.ledger.countDeaths(request.fingerprint);
+            this.dependencies.metrics.quarantines.inc({ service: service.name });
+            return Err(Failure.create(Verdict.NotRun, Diagnostics.Request_is_quarantined_after_0_endpoint_failures, crashCount));
         }
-        this.parts.budget.recordRequest();
+        this.dependencies.budget.recordRequest();
         if (service.idempotent) {
-            const answer = await this.runAttempts(request, service, history, span, signal);
-            return answer.map(val => ({ answer: val, isReplayed: false }));
+            const response = await this.runAttempts(request, service, history, span, signal);
+            return response.map(val => ({ answer: val, isReplayed: false }));
         }
         return this.runClaimedCall(request, service, history, span, signal, isForwarded);
     }
@@ -102,12 +105,12 @@
         signal: AbortSignal,
         isForwarded: boolean,
     ): Promise<Result<PlainCallResult, Failure>> {
-        const refusal = this.checkKey(request, service);
+        const refusal = this.checkIdempotencyKey(request, service);
         if (refusal !== undefined) {
             return Err(refusal);
         }
-        const claimSpan = this.parts.tracing.startChildSpan("claim", span);
-        const claimed = await this.parts.claims.claimKey({
+        const claimSpan = this.dependencies.tracing.startChildSpan("claim", span);
+        const claimed = await this.dependencies.claims.claimKey({
             service: service.name,
             key: request.idempotencyKey as string,
             team: request.team,
@@ -119,24 +122,24 @@
         claimSpan.setAttribute("corianderward.outcome", claimed.outcome);
         claimSpan.end();
         switch (claimed.outcome) {
-            case ClaimOutcome.AnswerStored:
+            case ClaimOutcome.ResponseStored:
                 history.verdict = Verdict.Ran;
-                return Ok({ answer: claimed.answer as PlainAnswer, isReplayed: true });
+                return Ok({ answer: claimed.response as PlainAnswer, isReplayed: true });
             case ClaimOutcome.Refused:
                 return Err(claimed.failure as Failure);
             case ClaimOutcome.PlatformUnreachable:
                 return this.forwardCall(request, history, isForwarded);
             case ClaimOutcome.Claimed:
-                return this.runHeldClaim(claimed.claim as HeldClaim, request, service, history, span, signal);
+                return this.runOwnedClaim(claimed.claim as OwnedClaim, request, service, history, span, signal);
         }
     }
 
-    private checkKey(request: PlainRequest, service: ServiceDeclaration): Failure | undefined {
+    private checkIdempotencyKey(request: PlainRequest, service: ServiceDeclaration): Failure | undefined {
         if (request.idempotencyKey === undefined) {
             return Failure.create(Verdict.NotRun, Diagnostics.Idempotency_Key_is_required_by_service_0, service.name);
         }
         const keyTime = readIdentifierTime(request.idempotencyKey);
-        const oldest = this.parts.clock.getWallTime() - service.retentionSeconds * millisecondsPerSecond;
+        const oldest = this.dependencies.clock.getWallTime() - service.retentionSeconds * millisecondsPerSecond;
         if (keyTime !== undefined && keyTime < oldest) {
             return Failure.create(Verdict.NotRun, Diagnostics.Key_is_older_than_the_retention_of_0_seconds, service.retentionSeconds);
         }
@@ -148,7 +151,7 @@
         history: RequestHistory,
         isForwarded: boolean,
     ): Promise<Result<PlainCallResult, Failure>> {
-        const forwarded = isForwarded ? undefined : await this.parts.forwarder.forwardCall(request, history);
+        const forwarded = isForwarded ? undefined : await this.dependencies.forwarder.forwardCall(request, history);
         if (forwarded !== undefined) {
             return forwarded;
         }
@@ -156,8 +159,8 @@
         return Err(failure.setRetryAfter(1));
     }
 
-    private async runHeldClaim(
-        claim: HeldClaim,
+    private async runOwnedClaim(
+        claim: OwnedClaim,
         request: PlainRequest,
         service: ServiceDeclaration,
         history: RequestHistory,
@@ -166,11 +169,11 @@
     ): Promise<Result<PlainCallResult, Failure>> {
         const result = await this.runAttempts(request, service, history, span, signal);
         if (result.ok) {
-            await this.parts.claims.storeAnswer(claim, result.val);
+            await this.dependencies.claims.storeResponse(claim, result.val);
             return Ok({ answer: result.val, isReplayed: false });
         }
         if (result.val.verdict === Verdict.NotRun) {
-            await this.parts.claims.releaseClaim(claim);
+            await this.dependencies.claims.releaseClaim(claim);
         }
         return result;
     }
@@ -183,16 +186,16 @@
         signal: AbortSignal,
     ): Promise<Result<PlainAnswer, Failure>> {
         const excluded = new Set<string>();
-        const version = this.parts.versions.selectVersion(service, request.id);
+        const version = this.dependencies.versions.selectVersion(service, request.id);
         for (let count = 0; count < attemptLimit; count += 1) {
             const slot = await this.acquireSlot(request, service, version, excluded, count > 0, signal);
             if (slot.err) {
                 return Err(slot.val.setVerdict(raiseVerdict(history.verdict, slot.val.verdict)));
             }
             const attempt = await this.runAttempt(request, service, slot.val, version, history, span, signal);
-            const isLast = count === attemptLimit - 1 || !this.mayRetry(service, attempt, signal);
-            if (attempt.answer !== undefined && (isLast || !retriableStatuses.has(attempt.answer.status))) {
-                return Ok(attempt.answer);
+            const isLast = count === attemptLimit - 1 || !this.canRetry(service, attempt, signal);
+            if (attempt.response !== undefined && (isLast || !retriableStatuses.has(attempt.response.status))) {
+                return Ok(attempt.response);
             }
             if (isLast) {
                 const failure = attempt.failure as Failure;
@@ -203,20 +206,20 @@
         return Err(Failure.create(history.verdict, Diagnostics.Retry_budget_is_spent));
     }
 
-    /** Says whether another attempt is allowed: the call was not run, or may be repeated, and the budget has a retry left. */
-    private mayRetry(service: ServiceDeclaration, attempt: CallAttempt, signal: AbortSignal): boolean {
+    /** Returns whether another attempt is allowed, and takes the retry from the budget. An endpoint that is leaving costs no retry. */
+    private canRetry(service: ServiceDeclaration, attempt: CallAttempt, signal: AbortSignal): boolean {
         if (signal.aborted) {
             return false;
         }
-        if (attempt.answer !== undefined) {
-            return service.idempotent && retriableStatuses.has(attempt.answer.status) && this.parts.budget.takeRetry();
+        if (attempt.response !== undefined) {
+            return service.idempotent && retriableStatuses.has(attempt.response.status) && this.dependencies.budget.takeRetry();
         }
         const failure = attempt.failure as Failure;
         if (failure.verdict !== Verdict.NotRun && !service.idempotent) {
             return false;
         }
         const isLeaving = failure.message.code === Diagnostics.Endpoint_is_leaving.code;
-        return isLeaving || this.parts.budget.takeRetry();
+        return isLeaving || this.dependencies.budget.takeRetry();
     }
 
     private async acquireSlot(
@@ -227,8 +230,8 @@
         isContinuation: boolean,
         signal: AbortSignal,
     ): Promise<Result<EndpointEntry, Failure>> {
-        const { parts } = this;
-        const remaining = request.deadline - parts.clock.getWallTime();
+        const { dependencies } = this;
+        const remaining = request.deadline - dependencies.clock.getWallTime();
         const query = {
             group: service.versions.find(candidate => candidate.name === version)?.group ?? service.group,
             model: undefined,
@@ -236,19 +239,19 @@
             weights: service.weights,
             prefixes: undefined,
             excluded,
-            pinned: undefined,
-            mustStay: service.idempotent ? 0 : Math.max(1, remaining),
+            pinnedEndpoint: undefined,
+            minimumStayMilliseconds: service.idempotent ? 0 : Math.max(1, remaining),
         };
-        if (excluded.size > 0 && listPossibleEndpoints(parts.registry, query).length === 0) {
+        if (excluded.size > 0 && listPossibleEndpoints(dependencies.registry, query).length === 0) {
             excluded.clear();
         }
-        return parts.admission.acquireSlot({
+        return dependencies.admission.acquireSlot({
             requestId: request.id,
             service: service.name,
             team: request.team,
-            teamShare: parts.configuration.findTeam(request.team)?.share ?? 1,
+            teamShare: dependencies.configuration.findTeam(request.team)?.share ?? 1,
             query,
-            queueDeadline: parts.clock.getMonotonicTime() + Math.min(service.queueTimeLimit, remaining),
+            queueDeadline: dependencies.clock.getMonotonicTime() + Math.min(service.queueTimeLimit, remaining),
             queueLimit: service.queueLimit,
             isContinuation,
             expectedWork: 1,
@@ -265,17 +268,17 @@
         span: Span,
         signal: AbortSignal,
     ): Promise<CallAttempt> {
-        const { parts } = this;
-        const startedAt = parts.clock.getMonotonicTime();
-        const load = parts.registry.getLoadShare(entry);
-        const record = history.addAttempt(createIdentifier(), entry.name, version, parts.clock.getWallTime(), 0);
-        const hop = parts.tracing.startChildSpan("endpoint", span);
-        hop.setAttribute("corianderward.endpoint", entry.name);
-        // A node that was paused may wake long after the deadline: the check stands right before the dispatch.
-        const remaining = request.deadline - parts.clock.getWallTime();
+        const { dependencies } = this;
+        const startedAt = dependencies.clock.getMonotonicTime();
+        const load = dependencies.registry.getLoadShare(entry);
+        const record = history.addAttempt(createIdentifier(), entry.name, version, dependencies.clock.getWallTime(), 0);
+        const endpointSpan = dependencies.tracing.startChildSpan("endpoint", span);
+        endpointSpan.setAttribute("corianderward.endpoint", entry.name);
+        // A suspended process may resume long after the deadline, so the deadline is checked directly before the dispatch.
+        const remaining = request.deadline - dependencies.clock.getWallTime();
         const result = remaining <= 0
             ? Err(Failure.create(Verdict.NotRun, Diagnostics.Deadline_passed))
-            : await parts.client.sendCall(entry.description.address, {
+            : await dependencies.client.sendCall(entry.description.address, {
                 requestId: request.id,
                 attemptId: record.attemptId,
                 version,
@@ -285,26 +288,26 @@
                 idempotencyKey: request.idempotencyKey,
                 body: request.body,
                 timeLimit: remaining,
-                connectTimeout: parts.connectTimeout,
-                answerBytes: parts.answerBytes,
+                connectTimeout: dependencies.connectTimeout,
+                answerBytes: dependencies.answerBytes,
                 mayReuseConnection: service.idempotent,
-                traceHeaders: parts.tracing.createHeaders(hop),
+                traceHeaders: dependencies.tracing.createHeaders(endpointSpan),
             }, signal);
         const verdict = result.ok ? Verdict.Ran : result.val.verdict;
         const outcome = result.ok ? AttemptOutcome.Finished : AttemptOutcome.Failed;
-        history.finishAttempt(record, outcome, verdict, result.ok ? "" : result.val.text, parts.clock.getWallTime());
-        parts.metrics.attempts.inc({ service: service.name, outcome });
+        history.finishAttempt(record, outcome, verdict, result.ok ? "" : result.val.text, dependencies.clock.getWallTime());
+        dependencies.metrics.attempts.inc({ service: service.name, outcome });
         if (result.err) {
-            parts.tracing.recordFailure(hop, result.val.text);
+            dependencies.tracing.recordFailure(endpointSpan, result.val.text);
         }
-        hop.end();
-        parts.admission.releaseSlot(entry);
+        endpointSpan.end();
+        dependencies.admission.releaseSlot(entry);
         if (result.err) {
-            await this.settleFailure(entry, result.val, signal);
+            await this.handleFailure(entry, result.val, signal);
             return { failure: result.val };
         }
-        parts.registry.recordSuccess(entry);
-        parts.observer.recordObservation({
+        dependencies.registry.recordSuccess(entry);
+        dependencies.observer.recordObservation({
             service: service.name,
             version,
             team: request.team,
@@ -312,15 +315,15 @@
             endpoint: entry.name,
             succeeded: result.val.status < 500,
             isComplete: true,
-            firstToken: parts.clock.getMonotonicTime() - startedAt,
+            firstToken: dependencies.clock.getMonotonicTime() - startedAt,
             betweenTokens: undefined,
             load,
         });
-        return { answer: result.val };
+        return { response: result.val };
     }
 
-    private async settleFailure(entry: EndpointEntry, failure: Failure, signal: AbortSignal): Promise<void> {
-        const { registry, probe } = this.parts;
+    private async handleFailure(entry: EndpointEntry, failure: Failure, signal: AbortSignal): Promise<void> {
+        const { registry, probe } = this.dependencies;
         switch (failure.message.code) {
             case Diagnostics.Endpoint_is_leaving.code:
                 registry.markLeaving(entry.name, EndpointEvidence.OwnRefusal, undefined);
--- a/src/requests/commands/requestRun.ts
+++ b/src/requests/commands/requestRun.ts
@@ -12,22 +12,23 @@
 import { AttemptOutcome, RequestOutcome } from "../types.js";
 import { AttemptRun } from "./attemptRun.js";
 import { ProbeResult } from "./endpointProbe.js";
-import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerParts } from "./modelRequestParts.js";
+import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerDependencies } from "./modelRequestParts.js";
 
-/** Most attempts at one request, whatever their reasons. */
+/** Maximum number of attempts of one request, including those that cost no retry. */
 const attemptLimit = 12;
 
-/** Why an attempt did not finish the request. */
+/** How a request continues after an attempt. */
 enum ContinueReason {
     Finished,
-    /** The endpoint leaves or was lost; the stream goes on elsewhere without charge to the retry budget. */
+    /** The endpoint is leaving or was lost: continue at another endpoint, without a charge to the retry budget. */
     Resume,
-    /** The attempt failed; another one needs the retry budget. */
+    /** The attempt failed: another attempt takes a retry from the retry budget. */
     Retry,
-    /** Nothing more is to be tried. */
+    /** The request was cancelled or has ended: start no further attempt. */
     GiveUp,
 }
 
+/** Result of one attempt, with the handle of the exported KV cache that the next attempt may import. */
 interface AttemptResult {
     readonly reason: ContinueReason;
     readonly failure?: Failure;
@@ -35,12 +36,13 @@
     readonly cacheHandle?: string;
 }
 
+/** The endpoint slot of the next attempt and, for a suspect request, the release of the endpoint's suspect lock. */
 interface Placement {
     readonly entry: EndpointEntry;
-    readonly releaseLane: (() => void) | undefined;
+    readonly releaseLock: (() => void) | undefined;
 }
 
-/** The course of one request. */
+/** Runs one generation: chooses endpoints, runs attempts and ends the request record. */
 export class RequestRun {
     private readonly prefixes: PromptPrefixes;
     private readonly excluded = new Set<string>();
@@ -53,25 +55,25 @@
     private isContinuation: boolean;
 
     private constructor(
-        private readonly parts: ModelRequestRunnerParts,
+        private readonly dependencies: ModelRequestRunnerDependencies,
         private readonly record: RequestRecord,
         private readonly service: ServiceDeclaration,
     ) {
         this.prefixes = createPromptPrefixes(record.request.prompt);
-        this.version = parts.versions.selectVersion(service, record.request.id);
+        this.version = dependencies.versions.selectVersion(service, record.request.id);
         const declared = service.versions.find(version => version.name === this.version);
         this.model = declared?.model ?? this.version;
         this.group = declared?.group ?? service.group;
         this.isContinuation = record.tokens.length > 0;
-        const remaining = record.request.deadline - parts.clock.getWallTime();
+        const remaining = record.request.deadline - dependencies.clock.getWallTime();
         this.deadlineTimer = setTimeout(() => {
             this.isPastDeadline = true;
             record.cancellation.abort();
         }, Math.max(0, remaining)).unref();
     }
 
-    static create(parts: ModelRequestRunnerParts, record: RequestRecord, service: ServiceDeclaration): RequestRun {
-        return new RequestRun(parts, record, service);
+    static create(dependencies: ModelRequestRunnerDependencies, record: RequestRecord, service: ServiceDeclaration): RequestRun {
+        return new RequestRun(dependencies, record, service);
     }
 
     stop(): void {
@@ -79,8 +81,8 @@
     }
 
     async runAttempts(): Promise<void> {
-        const { record, parts } = this;
-        let lastText = "";
+        const { record, dependencies } = this;
+        let lastFailureText = "";
         for (let count = 0; count < attemptLimit; count += 1) {
             const refusal = this.checkQuarantine();
             if (refusal !== undefined) {
@@ -89,7 +91,7 @@
             }
             const placement = await this.acquirePlacement();
             if (placement.err) {
-                this.finishUnplaced(placement.val);
+                this.finishWithoutGeneration(placement.val);
                 return;
             }
             const result = await this.runPlacedAttempt(placement.val);
@@ -98,19 +100,19 @@
                 return;
             }
             if (result.reason === ContinueReason.GiveUp || this.isEnded()) {
-                this.finishUnplaced(result.failure);
+                this.finishWithoutGeneration(result.failure);
                 return;
             }
-            if (result.reason === ContinueReason.Retry && !parts.budget.takeRetry()) {
+            if (result.reason === ContinueReason.Retry && !dependencies.budget.takeRetry()) {
                 record.finishWithFailure(result.failure ?? Failure.create(Verdict.MayHaveRun, Diagnostics.Retry_budget_is_spent));
                 return;
             }
             this.cacheHandle = result.cacheHandle;
             this.isContinuation = true;
-            lastText = result.failure?.text ?? lastText;
+            lastFailureText = result.failure?.text ?? lastFailureText;
         }
         record.finishWithFailure(
-            Failure.create(Verdict.MayHaveRun, Diagnostics.Request_failed_at_0_attempts_last_1, attemptLimit, lastText),
+            Failure.create(Verdict.MayHaveRun, Diagnostics.Request_failed_at_0_attempts_last_1, attemptLimit, lastFailureText),
         );
     }
 
@@ -118,7 +120,8 @@
         return this.record.cancellation.signal.aborted || this.record.getEnd() !== undefined;
     }
 
-    private finishUnplaced(failure: Failure | undefined): void {
+    /** Ends the request after its deadline, a handover, a cancellation or a failure, in this order of precedence. */
+    private finishWithoutGeneration(failure: Failure | undefined): void {
         if (this.isPastDeadline) {
             this.record.finishWithFailure(Failure.create(Verdict.NotRun, Diagnostics.Deadline_passed));
             return;
@@ -137,12 +140,12 @@
     }
 
     private finishWithGeneration(generation: GenerationEnd): void {
-        this.parts.metrics.tokensRecomputed.inc({ service: this.service.name }, generation.recomputedTokens);
+        this.dependencies.metrics.tokensRecomputed.inc({ service: this.service.name }, generation.recomputedTokens);
         this.record.finish(generation);
     }
 
     private checkQuarantine(): Failure | undefined {
-        const { ledger, metrics } = this.parts;
+        const { ledger, metrics } = this.dependencies;
         const { fingerprint } = this.record.request;
         if (!ledger.isQuarantined(fingerprint)) {
             return undefined;
@@ -155,7 +158,7 @@
         );
     }
 
-    private createQuery(pinned: string | undefined): EndpointQuery {
+    private createQuery(pinnedEndpoint: string | undefined): EndpointQuery {
         const query: EndpointQuery = {
             group: this.group,
             model: this.model,
@@ -163,66 +166,66 @@
             weights: this.service.weights,
             prefixes: this.prefixes,
             excluded: this.excluded,
-            pinned,
-            mustStay: 0,
+            pinnedEndpoint,
+            minimumStayMilliseconds: 0,
         };
-        if (this.excluded.size > 0 && listPossibleEndpoints(this.parts.registry, query).length === 0) {
-            // Every endpoint has failed once; any of them is better than none.
+        if (this.excluded.size > 0 && listPossibleEndpoints(this.dependencies.registry, query).length === 0) {
+            // Every endpoint is excluded after a failure; allow all of them again rather than fail the request.
             this.excluded.clear();
         }
         return query;
     }
 
     private async acquirePlacement(): Promise<Result<Placement, Failure>> {
-        const { parts, record } = this;
-        if (!parts.ledger.isSuspect(record.request.fingerprint)) {
+        const { dependencies, record } = this;
+        if (!dependencies.ledger.isSuspect(record.request.fingerprint)) {
             const slot = await this.acquireSlot(undefined);
-            return slot.map(entry => ({ entry, releaseLane: undefined }));
+            return slot.map(entry => ({ entry, releaseLock: undefined }));
         }
         return this.acquireSuspectPlacement();
     }
 
-    /** Gives a request under suspicion the one endpoint that every node chooses for it, alone among suspects. */
+    /** Acquires the endpoint that rendezvous hashing gives a suspect request on every node, and that endpoint's suspect lock. */
     private async acquireSuspectPlacement(): Promise<Result<Placement, Failure>> {
-        const { parts, record } = this;
+        const { dependencies, record } = this;
         for (;;) {
-            const possible = listPossibleEndpoints(parts.registry, this.createQuery(undefined));
+            const possible = listPossibleEndpoints(dependencies.registry, this.createQuery(undefined));
             const chosen = selectByRendezvous(record.request.fingerprint, possible, entry => entry.name)[0];
             if (chosen === undefined) {
                 const slot = await this.acquireSlot(undefined);
-                return slot.map(entry => ({ entry, releaseLane: undefined }));
+                return slot.map(entry => ({ entry, releaseLock: undefined }));
             }
-            const releaseLane = await parts.lanes.acquireLane(chosen.name);
+            const releaseLock = await dependencies.lanes.acquireLock(chosen.name);
             const refusal = this.checkQuarantine();
             if (refusal !== undefined || this.isEnded()) {
-                releaseLane();
+                releaseLock();
                 return Err(refusal ?? Failure.create(Verdict.NotRun, Diagnostics.Caller_closed_the_connection));
             }
             if (chosen.state === EndpointState.Leaving || chosen.state === EndpointState.Gone || this.excluded.has(chosen.name)) {
-                releaseLane();
+                releaseLock();
                 continue;
             }
             const slot = await this.acquireSlot(chosen.name);
             if (slot.err) {
-                releaseLane();
+                releaseLock();
                 return slot;
             }
-            return Ok({ entry: slot.val, releaseLane });
+            return Ok({ entry: slot.val, releaseLock });
         }
     }
 
-    private async acquireSlot(pinned: string | undefined): Promise<Result<EndpointEntry, Failure>> {
-        const { parts, record, service } = this;
+    private async acquireSlot(pinnedEndpoint: string | undefined): Promise<Result<EndpointEntry, Failure>> {
+        const { dependencies, record, service } = this;
         const { request } = record;
-        const remaining = request.deadline - parts.clock.getWallTime();
-        const now = parts.clock.getMonotonicTime();
+        const remaining = request.deadline - dependencies.clock.getWallTime();
+        const now = dependencies.clock.getMonotonicTime();
         const queueTime = this.isContinuation || request.isAsync ? remaining : Math.min(service.queueTimeLimit, remaining);
-        return parts.admission.acquireSlot({
+        return dependencies.admission.acquireSlot({
             requestId: request.id,
             service: service.name,
             team: request.team,
-            teamShare: parts.configuration.findTeam(request.team)?.share ?? 1,
-            query: this.createQuery(pinned),
+            teamShare: dependencies.configuration.findTeam(request.team)?.share ?? 1,
+            query: this.createQuery(pinnedEndpoint),
             queueDeadline: now + queueTime,
             queueLimit: service.queueLimit,
             isContinuation: this.isContinuation,
@@ -232,34 +235,34 @@
     }
 
     private async runPlacedAttempt(placement: Placement): Promise<AttemptResult> {
-        const { parts, record } = this;
+        const { dependencies, record } = this;
         const { entry } = placement;
-        const attempt = AttemptRun.create(parts, record, this.service, entry, this.version, placement.releaseLane);
-        const expectedShare = parts.prefixIndex.getCachedShare(this.prefixes, entry.name);
-        parts.prefixIndex.addPrompt(this.prefixes, entry.name);
-        parts.metrics.running.inc({ service: this.service.name });
+        const attempt = AttemptRun.create(dependencies, record, this.service, entry, this.version, placement.releaseLock);
+        const expectedCachedShare = dependencies.prefixIndex.getCachedShare(this.prefixes, entry.name);
+        dependencies.prefixIndex.addPrompt(this.prefixes, entry.name);
+        dependencies.metrics.running.inc({ service: this.service.name });
         let result: Result<GenerationEnd, Failure>;
         try {
             result = await attempt.runGeneration(this.model, this.cacheHandle);
         }
         finally {
-            parts.metrics.running.dec({ service: this.service.name });
+            dependencies.metrics.running.dec({ service: this.service.name });
         }
         if (result.ok) {
             const cachedShare = result.val.cachedTokens / Math.max(1, result.val.promptTokens);
-            parts.prefixIndex.recordCachedShare(entry.name, expectedShare, cachedShare);
+            dependencies.prefixIndex.recordCachedShare(entry.name, expectedCachedShare, cachedShare);
         }
-        const ended = await this.settleAttempt(attempt, result);
+        const ended = await this.finishAttempt(attempt, result);
         attempt.stop();
         return ended;
     }
 
-    private async settleAttempt(attempt: AttemptRun, result: Result<GenerationEnd, Failure>): Promise<AttemptResult> {
-        const { parts } = this;
+    private async finishAttempt(attempt: AttemptRun, result: Result<GenerationEnd, Failure>): Promise<AttemptResult> {
+        const { dependencies } = this;
         if (result.ok) {
-            parts.registry.recordSuccess(attempt.entry);
+            dependencies.registry.recordSuccess(attempt.entry);
             attempt.finish(AttemptOutcome.Finished, Verdict.Ran, "");
-            attempt.recordObservation(true, parts);
+            attempt.recordObservation(true, dependencies);
             return { reason: ContinueReason.Finished, generation: result.val };
         }
         if (attempt.isMoved()) {
@@ -271,16 +274,16 @@
         }
         if (this.isEnded()) {
             attempt.finish(AttemptOutcome.Cancelled, result.val.verdict, result.val.text);
-            void parts.client.cancelGeneration(attempt.entry.description.address, attempt.record.attemptId);
+            void dependencies.client.cancelGeneration(attempt.entry.description.address, attempt.record.attemptId);
             return { reason: ContinueReason.GiveUp, failure: result.val };
         }
         attempt.finish(AttemptOutcome.Failed, result.val.verdict, result.val.text);
-        return this.settleFailure(attempt, result.val);
+        return this.handleFailure(attempt, result.val);
     }
 
-    private async settleFailure(attempt: AttemptRun, failure: Failure): Promise<AttemptResult> {
+    private async handleFailure(attempt: AttemptRun, failure: Failure): Promise<AttemptResult> {
         const { entry } = attempt;
-        const { registry, metrics, logger } = this.parts;
+        const { registry, metrics, logger } = this.dependencies;
         logger.debug("attempt failed", { request: this.record.request.id, endpoint: entry.name, text: failure.text });
         switch (failure.message.code) {
             case Diagnostics.Endpoint_is_leaving.code:
@@ -295,41 +298,42 @@
                 this.excluded.add(entry.name);
                 return { reason: ContinueReason.Retry, failure };
             case Diagnostics.Endpoint_failed_with_status_0.code:
-                attempt.recordObservation(false, this.parts);
+                attempt.recordObservation(false, this.dependencies);
                 this.excluded.add(entry.name);
                 return { reason: ContinueReason.Retry, failure };
             case Diagnostics.Endpoint_sent_nothing_for_0_milliseconds.code:
                 metrics.silences.inc({ hop: "endpoint" });
-                return this.settleLostConnection(attempt, failure);
+                return this.handleLostConnection(attempt, failure);
             case Diagnostics.Connection_was_lost_after_the_request_was_sent_0.code:
-                return this.settleLostConnection(attempt, failure);
+                return this.handleLostConnection(attempt, failure);
             default:
                 this.excluded.add(entry.name);
                 return { reason: ContinueReason.Retry, failure };
         }
     }
 
-    private async settleLostConnection(attempt: AttemptRun, failure: Failure): Promise<AttemptResult> {
+    /** Probes the endpoint after a lost connection; if it is still reachable, exports the cache for the next attempt. */
+    private async handleLostConnection(attempt: AttemptRun, failure: Failure): Promise<AttemptResult> {
         const { entry } = attempt;
-        const probe = await this.parts.probe.checkEndpoint(entry);
-        if (probe !== ProbeResult.Alive) {
+        const probe = await this.dependencies.probe.checkEndpoint(entry);
+        if (probe !== ProbeResult.Reachable) {
             this.excluded.add(entry.name);
             this.recordResume(undefined);
             return { reason: ContinueReason.Resume, failure };
         }
-        const exported = await this.parts.client.exportCache(
+        const exported = await this.dependencies.client.exportCache(
             entry.description.address,
             attempt.record.attemptId,
             exportTimeLimitMilliseconds,
         );
         const cacheHandle = exported.ok ? exported.val : undefined;
-        await this.parts.client.cancelGeneration(entry.description.address, attempt.record.attemptId);
+        await this.dependencies.client.cancelGeneration(entry.description.address, attempt.record.attemptId);
         this.recordResume(cacheHandle);
         return { reason: ContinueReason.Resume, failure, cacheHandle };
     }
 
     private recordResume(cacheHandle: string | undefined): void {
         const way = this.record.tokens.length === 0 ? "restart" : cacheHandle === undefined ? "prompt" : "cache";
-        this.parts.metrics.resumes.inc({ service: this.service.name, way });
+        this.dependencies.metrics.resumes.inc({ service: this.service.name, way });
     }
 }
--- a/src/requests/commands/shadowRunner.test.ts
+++ b/src/requests/commands/shadowRunner.test.ts
@@ -14,8 +14,8 @@
 import { ModelRequest, VersionObservation } from "../types.js";
 import { ShadowRunner, shadowsPerRequest } from "./shadowRunner.js";
 
-/** Runs one request's shadows against endpoints whose attempts all fail in one way; returns what the judge was told. */
-async function runFailingShadows(message: DiagnosticMessage): Promise<VersionObservation[]> {
+/** Runs the shadow attempts of one request, all of which fail with the message; returns the reported observations. */
+async function runFailingShadowRequests(message: DiagnosticMessage): Promise<VersionObservation[]> {
     const clock = VirtualClock.create();
     const metrics = Metrics.create();
     const registry = EndpointRegistry.create(clock, metrics, createSilentLogger(), 8);
@@ -49,19 +49,19 @@
     );
     const service: Partial<ServiceDeclaration> = { name: "draft", versions: [], silenceLimit: 100 };
     const request: Partial<ModelRequest> = { id: "r", team: "desk", prompt: "", maxTokens: 4, isChat: false, sampling: {} };
-    const finished = runner.runShadows(request as ModelRequest, service as ServiceDeclaration, "v1");
+    const finished = runner.sendShadowRequests(request as ModelRequest, service as ServiceDeclaration, "v1");
     await clock.runUntil(100);
     await finished;
     return observations;
 }
 
-test("a shadow attempt whose connection is lost or refused says nothing of the version", async () => {
-    assert.equal((await runFailingShadows(Diagnostics.Connection_was_lost_after_the_request_was_sent_0)).length, 0);
-    assert.equal((await runFailingShadows(Diagnostics.Endpoint_refused_the_connection_0)).length, 0);
+test("a shadow attempt whose connection is lost or refused is not counted against the version", async () => {
+    assert.equal((await runFailingShadowRequests(Diagnostics.Connection_was_lost_after_the_request_was_sent_0)).length, 0);
+    assert.equal((await runFailingShadowRequests(Diagnostics.Endpoint_refused_the_connection_0)).length, 0);
 });
 
-test("a shadow attempt that the endpoint answers with a failure counts against the version", async () => {
-    const observations = await runFailingShadows(Diagnostics.Endpoint_failed_with_status_0);
+test("a shadow attempt that fails with an HTTP error status is counted against the version", async () => {
+    const observations = await runFailingShadowRequests(Diagnostics.Endpoint_failed_with_status_0);
     assert.equal(observations.length, shadowsPerRequest);
     observations.forEach(observation => assert.equal(observation.succeeded, false));
 });
--- a/src/requests/commands/shadowRunner.ts
+++ b/src/requests/commands/shadowRunner.ts
@@ -8,21 +8,21 @@
 import { EndpointSelector } from "../queries/endpointSelector.js";
 import { ModelRequest, VersionObserver } from "../types.js";
 
-/** Shadow attempts that a node runs at once. */
-const shadowLimit = 8;
+/** Maximum number of shadow attempts that a node runs concurrently. */
+const concurrentShadowLimit = 8;
 const shadowPriority = 3;
-/** Shadow attempts with one request: the doubt is settled sooner, which matters where a version is bad only in part. */
+/** Shadow attempts per request. More attempts decide an evaluation sooner, which matters if a version fails only for some requests. */
 export const shadowsPerRequest = 2;
 
-/** Says which version's behaviour is in doubt and worth trying without a caller. */
+/** Chooses the version under evaluation that receives shadow requests. */
 export interface ShadowPolicy {
-    /** Returns the version to try beside the one that serves a request, or undefined. */
+    /** Returns the version to send shadow requests to, or undefined if no version of the service needs them. */
     findShadowVersion(service: ServiceDeclaration): string | undefined;
 }
 
 /**
- * Tries a version in doubt with requests that the other version serves, and drops the answers: the doubt is settled
- * within seconds and no caller is harmed. Only generations are tried, which are idempotent, and only with room to spare.
+ * Sends copies of requests to a version under evaluation and drops the responses, so that the version can be evaluated
+ * within seconds without affecting a caller. Copies only generations, which are idempotent, and only while slots are free.
  */
 export class ShadowRunner {
     private running = 0;
@@ -51,15 +51,15 @@
         return new ShadowRunner(client, registry, selector, policy, observer, clock, metrics, connectTimeout);
     }
 
-    /** Tries the version in doubt, if there is one, with a request that another version serves. */
-    async runShadows(request: ModelRequest, service: ServiceDeclaration, servedBy: string): Promise<void> {
-        const attempts = Array.from({ length: shadowsPerRequest }, () => this.runShadow(request, service, servedBy));
+    /** Sends shadow requests to the version under evaluation, unless there is none or it serves the request itself. */
+    async sendShadowRequests(request: ModelRequest, service: ServiceDeclaration, servedBy: string): Promise<void> {
+        const attempts = Array.from({ length: shadowsPerRequest }, () => this.sendShadowRequest(request, service, servedBy));
         await Promise.all(attempts);
     }
 
-    private async runShadow(request: ModelRequest, service: ServiceDeclaration, servedBy: string): Promise<void> {
+    private async sendShadowRequest(request: ModelRequest, service: ServiceDeclaration, servedBy: string): Promise<void> {
         const version = this.policy.findShadowVersion(service);
-        if (version === undefined || version === servedBy || this.running >= shadowLimit) {
+        if (version === undefined || version === servedBy || this.running >= concurrentShadowLimit) {
             return;
         }
         const entry = this.selectEndpoint(service, version);
@@ -86,14 +86,14 @@
             weights: service.weights,
             prefixes: undefined,
             excluded: new Set(),
-            pinned: undefined,
-            mustStay: 0,
+            pinnedEndpoint: undefined,
+            minimumStayMilliseconds: 0,
         });
     }
 
     private async runAttempt(request: ModelRequest, service: ServiceDeclaration, version: string, entry: EndpointEntry): Promise<void> {
         const startedAt = this.clock.getMonotonicTime();
-        const load = this.registry.getLoadShare(entry);
+        const loadShareAtStart = this.registry.getLoadShare(entry);
         let tokens = 0;
         let firstTokenAt: number | undefined;
         let lastTokenAt = startedAt;
@@ -120,7 +120,7 @@
         };
         const result = await this.client.runGeneration(entry.description.address, attempt, sink, new AbortController().signal);
         this.metrics.attempts.inc({ service: service.name, outcome: "shadow" });
-        // A refused or lost connection shows nothing of the version: endpoints are lost on any.
+        // A refused or lost connection is no evidence about the version: endpoints of any version can be lost.
         if (result.err && result.val.message.code !== Diagnostics.Endpoint_failed_with_status_0.code) {
             return;
         }
@@ -134,7 +134,7 @@
             isComplete: tokens >= request.maxTokens,
             firstToken: firstTokenAt === undefined ? undefined : firstTokenAt - startedAt,
             betweenTokens: tokens < 2 || firstTokenAt === undefined ? undefined : (lastTokenAt - firstTokenAt) / (tokens - 1),
-            load,
+            load: loadShareAtStart,
         });
     }
 }
--- a/src/requests/commands/streamMover.ts
+++ b/src/requests/commands/streamMover.ts
@@ -1,14 +1,14 @@
 import { Clock } from "../../common/clock.js";
 import { ActiveAttempt, EndpointEntry, EndpointListener } from "../endpointRegistry.js";
 
-/** Share of the notice within which a stream must be expected to finish to stay where it is. */
-const stayShare = 0.5;
-/** Notice that is assumed when none was announced, in milliseconds. */
+/** A stream stays at its endpoint if it is expected to finish within this share of the notice. */
+const finishableNoticeShare = 0.5;
+/** Notice assumed if the endpoint's removal time was not announced. */
 const assumedNoticeMilliseconds = 2_000;
-/** Time between the starts of two moves, in milliseconds, so that the largest export first. */
+/** Interval between the starts of two moves, so that the largest caches are exported first. */
 const moveIntervalMilliseconds = 5;
 
-/** Moves streams off endpoints that will leave, those that would lose most first. */
+/** Moves streams away from leaving endpoints, starting with the streams that have most tokens to recompute. */
 export class StreamMover implements EndpointListener {
     private constructor(private readonly clock: Clock) {}
 
@@ -20,26 +20,26 @@
         void this.moveAttempts(entry);
     }
 
-    handleRoom(): void {
-        // Moved streams wait for room in the admission queue.
+    handleFreeCapacity(): void {
+        // Moved streams wait for a slot in the admission queue.
     }
 
     private async moveAttempts(entry: EndpointEntry): Promise<void> {
         const notice = entry.leavesAt === undefined ? assumedNoticeMilliseconds : entry.leavesAt - this.clock.getWallTime();
-        const moving = [...entry.attempts].filter(attempt => !this.canFinish(attempt, notice));
-        moving.sort((left, right) => right.countTokens() - left.countTokens());
+        const moving = [...entry.attempts].filter(attempt => !this.canFinishInPlace(attempt, notice));
+        moving.sort((left, right) => right.countTokensToRecompute() - left.countTokensToRecompute());
         for (const attempt of moving) {
             attempt.startMove();
             await this.clock.sleep(moveIntervalMilliseconds);
         }
-        // What was expected to finish and did not is moved before the notice runs out.
-        await this.clock.sleep(Math.max(0, notice * stayShare));
+        // Move the streams that did not finish as expected before the notice ends.
+        await this.clock.sleep(Math.max(0, notice * finishableNoticeShare));
         for (const attempt of entry.attempts) {
             attempt.startMove();
         }
     }
 
-    private canFinish(attempt: ActiveAttempt, notice: number): boolean {
-        return attempt.countRemainingTokens() * attempt.getTokenTime() < notice * stayShare;
+    private canFinishInPlace(attempt: ActiveAttempt, notice: number): boolean {
+        return attempt.countRemainingTokens() * attempt.getTokenInterval() < notice * finishableNoticeShare;
     }
 }
--- a/src/requests/commands/teamLimiter.ts
+++ b/src/requests/commands/teamLimiter.ts
@@ -5,12 +5,12 @@
 import { TeamDeclaration } from "../../config/types.js";
 import { SharedRateLimiter } from "../../quotas/sharedRateLimiter.js";
 
-/** Seconds of its rate that a team may use at once. */
+/** Burst capacity of a team, in seconds of its rate. */
 const burstSeconds = 2;
-/** Least burst, so that slow teams can send at all. */
-const leastBurst = 2;
+/** Minimum burst in requests, so that a team with a low rate can send at all. */
+const minimumBurst = 2;
 
-/** Holds each team to its requests a second over all nodes. */
+/** Enforces each team's limit of requests per second over all nodes. */
 export class TeamLimiter {
     private constructor(private readonly limiter: SharedRateLimiter) {}
 
@@ -18,15 +18,15 @@
         return new TeamLimiter(SharedRateLimiter.create(clock));
     }
 
-    /** Sets how many nodes serve callers. */
+    /** Sets the number of nodes that serve callers and share the limits. */
     setNodeCount(count: number): void {
         this.limiter.setNodeCount(count);
     }
 
-    /** Takes one request of a team's limit; returns the refusal when none is left. */
+    /** Takes one request from a team's limit; returns a failure with the retry delay if the limit is reached, otherwise undefined. */
     takeRequest(team: TeamDeclaration): Failure | undefined {
         const rate = team.requestsPerSecond;
-        const refusal = this.limiter.takeUnits({ name: team.name, rate, burst: rate * burstSeconds }, 1, leastBurst);
+        const refusal = this.limiter.takeUnits({ name: team.name, rate, burst: rate * burstSeconds }, 1, minimumBurst);
         if (refusal === undefined) {
             return undefined;
         }
@@ -35,12 +35,12 @@
         );
     }
 
-    /** Records the demand that another node sees, in requests a second. */
+    /** Records the demand for a team that another node reported, in requests per second. */
     recordOtherDemand(team: string, node: string, demand: number): void {
         this.limiter.recordOtherDemand({ name: team, demand, passed: 0, nodes: 1 }, node);
     }
 
-    /** Returns this node's demand by team, in requests a second. */
+    /** Returns the demand that this node measured for each team, in requests per second. */
     listDemands(): { team: string; demand: number; }[] {
         return this.limiter.listDemands().map(({ name, demand }) => ({ team: name, demand }));
     }
--- a/src/requests/concurrencyLimit.ts
+++ b/src/requests/concurrencyLimit.ts
@@ -1,16 +1,19 @@
-/** Factor on the limit after the endpoint refused or slowed down. */
+/** Factor applied to the limit after the endpoint refused an attempt or slowed down. */
 const decreaseFactor = 0.8;
-/** Share of the target between two tokens above which the limit falls. */
-const slowShare = 0.95;
-/** Weight of a new observation of the time between tokens. */
-const gapWeight = 0.2;
-/** Shortest time between two decreases, in milliseconds. */
+/** The limit decreases if the mean token interval exceeds this share of its target. */
+const slowIntervalShare = 0.95;
+/** Weight of a new value in the exponential moving average of the token interval. */
+const tokenIntervalWeight = 0.2;
+/** Minimum time between two decreases. */
 const decreaseIntervalMilliseconds = 500;
 
-/** Bounds what a node runs at one endpoint at once: rises by one at a time while it goes well, falls by a share when it does not. */
+/**
+ * Limits the attempts that a node runs concurrently at one endpoint. Increases in small steps after successes and decreases
+ * by a factor after refusals or slow tokens (additive increase, multiplicative decrease).
+ */
 export class ConcurrencyLimit {
     private limit: number;
-    private gap: number | undefined;
+    private meanTokenInterval: number | undefined;
     private lastDecreaseAt = -Infinity;
 
     private constructor(initial: number, private maximum: number) {
@@ -25,33 +28,35 @@
         return Math.max(1, Math.floor(this.limit));
     }
 
-    /** Raises the limit to a first estimate, once the endpoint's capacity is known. */
-    setInitial(estimate: number): void {
+    /** Raises the limit to an estimate, once the endpoint's capacity is known. */
+    raiseToEstimate(estimate: number): void {
         this.limit = Math.max(this.limit, estimate);
     }
 
-    /** Sets the most that the limit may become. */
+    /** Sets the upper bound of the limit. */
     setMaximum(maximum: number): void {
         this.maximum = Math.max(1, maximum);
         this.limit = Math.min(this.limit, this.maximum);
     }
 
-    /** Records an attempt that ended well; the limit rises only while it is in use. */
+    /** Records a successful attempt. The limit increases only if nearly all of it was in use. */
     recordSuccess(running: number): void {
         if (running + 1 >= this.getLimit()) {
             this.limit = Math.min(this.maximum, this.limit + 1 / Math.max(1, this.limit) + 0.5);
         }
     }
 
-    /** Records that the endpoint refused for lack of room. The time is monotonic, in milliseconds. */
+    /** Records that the endpoint is overloaded. The time is monotonic, in milliseconds. */
     recordRefusal(now: number): void {
         this.reduceLimit(now);
     }
 
-    /** Records the mean time between two tokens of an attempt and its target, in milliseconds. */
-    recordGap(gap: number, target: number, now: number): void {
-        this.gap = this.gap === undefined ? gap : this.gap * (1 - gapWeight) + gap * gapWeight;
-        if (this.gap > target * slowShare) {
+    /** Records an attempt's mean token interval and its target, in milliseconds. */
+    recordTokenInterval(tokenInterval: number, target: number, now: number): void {
+        this.meanTokenInterval = this.meanTokenInterval === undefined
+            ? tokenInterval
+            : this.meanTokenInterval * (1 - tokenIntervalWeight) + tokenInterval * tokenIntervalWeight;
+        if (this.meanTokenInterval > target * slowIntervalShare) {
             this.reduceLimit(now);
         }
     }
--- a/src/requests/endpointRegistry.ts
+++ b/src/requests/endpointRegistry.ts
@@ -7,76 +7,80 @@
 import { HostState } from "../provider/types.js";
 import { ConcurrencyLimit } from "./concurrencyLimit.js";
 
-/** Time for which an endpoint gets no work after a failure, in milliseconds; doubled for each further one. */
-const suspectMilliseconds = 500;
-const suspectLimitMilliseconds = 8_000;
-/** Time constant with which a load report loses its weight, in milliseconds. */
+/** Time for which an endpoint is sent no attempts after a failure; doubled for each consecutive failure up to the maximum. */
+const initialSuspectMilliseconds = 500;
+const maximumSuspectMilliseconds = 8_000;
+/** Time constant of the exponential decay of a load report's weight. */
 const loadDecayMilliseconds = 2_000;
-/** Share of the capacity that is assumed to be in use when nothing is known. */
-const neutralLoadShare = 0.5;
+/** Share of the capacity assumed to be in use without a recent load report. */
+const assumedLoadShare = 0.5;
+/** Concurrent attempts that an endpoint is assumed to run before its first load report. */
 const defaultCapacity = 4;
-/** Share of an endpoint's capacity that may wait inside it before nodes send less. */
+/** The concurrency limit decreases if more than this share of an endpoint's capacity is queued inside the endpoint. */
 const waitingShareLimit = 0.5;
-/** Time after which an endpoint that refused as leaving, and now reports that it stays, gets work again, in milliseconds. */
-const refusalMemoryMilliseconds = 5_000;
-/** An endpoint that left is remembered this long, so that a late host list does not bring it back, in milliseconds. */
-const goneMemoryMilliseconds = 60_000;
+/** Time after which an endpoint that refused an attempt as leaving, and no longer reports that it leaves, is sent attempts again. */
+const leavingRefusalRetentionMilliseconds = 5_000;
+/** Time for which a removed endpoint stays blocked, so that an outdated host list does not add it again. */
+const removedEndpointRetentionMilliseconds = 60_000;
 
-/** The node's view of one endpoint. */
+/** State that this node records for one endpoint. */
 export interface EndpointEntry {
     readonly name: string;
-    /** The number by which digests name it. */
+    /** Hash of the name; identifies the endpoint in digests. */
     readonly number: number;
     description: EndpointDescription;
     state: EndpointState;
     evidence: EndpointEvidence;
-    /** Unix milliseconds of the last change of state. */
+    /** Unix time of the last state change, in milliseconds. */
     since: number;
-    /** Unix milliseconds at which the endpoint is taken away, when announced. */
+    /** Unix time in milliseconds at which the endpoint will be removed, or undefined if not announced. */
     leavesAt: number | undefined;
-    /** Attempts that this node runs there. */
+    /** Attempts that this node runs at the endpoint. */
     running: number;
     readonly limit: ConcurrencyLimit;
     load: LoadReport | undefined;
-    /** Monotonic milliseconds of the load report, and what this node ran there then. */
+    /** Monotonic time of the load report, in milliseconds. */
     loadAt: number;
-    runningAtReport: number;
+    /** Attempts that this node ran at the endpoint when the load report was recorded. */
+    localRunningAtReport: number;
+    /** Consecutive failures. */
     failures: number;
+    /** Monotonic time in milliseconds until which a suspect endpoint is sent no attempts. */
     suspectUntil: number;
     readonly attempts: Set<ActiveAttempt>;
 }
 
-/** An attempt that runs at an endpoint, as far as moving it concerns. */
+/** A running attempt, with what moving it to another endpoint and finding the cause of a crash require. */
 export interface ActiveAttempt {
     readonly requestId: string;
     readonly fingerprint: string;
-    /** Tokens that would have to be computed again. */
-    countTokens(): number;
-    /** Tokens that this attempt has emitted. */
-    countEmitted(): number;
-    /** Tokens that are still to come. */
+    /** Returns the prompt and response tokens that a move without the cache would recompute. */
+    countTokensToRecompute(): number;
+    /** Returns the number of tokens that this attempt has emitted. */
+    countEmittedTokens(): number;
+    /** Returns the maximum number of tokens that the request may still emit. */
     countRemainingTokens(): number;
-    /** Mean time between two tokens, in milliseconds. */
-    getTokenTime(): number;
-    /** Moves the attempt to another endpoint. */
+    /** Returns the mean time between two tokens in milliseconds, or the target before two tokens were emitted. */
+    getTokenInterval(): number;
+    /** Exports the attempt's cache and aborts the attempt, so that the request continues at another endpoint. */
     startMove(): void;
-    /** Whether the attempt alone is under suspicion at its endpoint. */
-    readonly holdsSuspectLane: boolean;
+    /** Whether the attempt holds the suspect lock of its endpoint. */
+    readonly holdsSuspectLock: boolean;
 }
 
-/** Learns of changes in the registry. */
+/** Receives changes of the endpoint registry. */
 export interface EndpointListener {
-    /** The endpoint will leave; its attempts should move. */
+    /** Called when an endpoint is marked as leaving; its attempts should be moved. */
     handleLeaving(entry: EndpointEntry): void;
-    /** Room may have come up somewhere. */
-    handleRoom(group: string): void;
+    /** Called when an endpoint of the group may have free slots. */
+    handleFreeCapacity(group: string): void;
 }
 
-/** What a node knows of the endpoints: their states with the evidence, their load, and what it runs there. */
+/** Records for each endpoint its state with the evidence for it, its last load report and the attempts that this node runs there. */
 export class EndpointRegistry {
     private readonly entries = new Map<string, EndpointEntry>();
-    private readonly byGroup = new Map<string, EndpointEntry[]>();
-    private readonly goneUntil = new Map<string, number>();
+    private readonly entriesByGroup = new Map<string, EndpointEntry[]>();
+    private readonly removedUntilByName = new Map<string, number>();
     private readonly listeners = new Set<EndpointListener>();
     private observerCount = 1;
 
@@ -95,12 +99,12 @@
         this.listeners.add(listener);
     }
 
-    /** Sets how many nodes share the endpoints of this node's failure domain. */
+    /** Sets the number of nodes, this one included, that share the endpoints of this node's failure domain. */
     setObserverCount(count: number): void {
         this.observerCount = Math.max(1, count);
     }
 
-    /** Takes over a host list. The list lags: it never revives an endpoint that was seen to leave. */
+    /** Applies a host list. Since the list may be outdated, it never sets a leaving or recently removed endpoint to live. */
     applyDescriptions(descriptions: readonly EndpointDescription[]): void {
         const names = new Set(descriptions.map(description => description.name));
         for (const description of descriptions) {
@@ -112,7 +116,7 @@
             }
         }
         this.buildGroups();
-        this.notifyRoom();
+        this.notifyFreeCapacity();
     }
 
     findEntry(name: string): EndpointEntry | undefined {
@@ -125,10 +129,10 @@
 
     /** Returns the endpoints of a group, in any state. */
     listGroup(group: string): readonly EndpointEntry[] {
-        return this.byGroup.get(group) ?? [];
+        return this.entriesByGroup.get(group) ?? [];
     }
 
-    /** Says whether an endpoint may get new work now. */
+    /** Returns whether an endpoint may be sent new attempts now. */
     isEligible(entry: EndpointEntry): boolean {
         if (entry.state === EndpointState.Suspect) {
             return entry.suspectUntil <= this.clock.getMonotonicTime() && entry.running === 0;
@@ -136,42 +140,42 @@
         return entry.state === EndpointState.Live;
     }
 
-    /** Returns how many more attempts this node may start at an endpoint. */
-    getRoom(entry: EndpointEntry): number {
-        const ownRoom = entry.limit.getLimit() - entry.running;
+    /** Returns how many more attempts this node may start at an endpoint; may be negative. */
+    getFreeSlots(entry: EndpointEntry): number {
+        const localSlots = entry.limit.getLimit() - entry.running;
         const capacity = this.getCapacity(entry);
-        const sharedRoom = capacity - entry.running - this.getOthersRunning(entry);
-        // Its own part is a node's at any time, or nodes with more traffic would starve the others for a report's age.
-        const ownPart = Math.floor(capacity / this.observerCount) - entry.running;
-        return Math.min(ownRoom, Math.max(ownPart, Math.floor(sharedRoom)));
+        const unusedCapacity = capacity - entry.running - this.computeRemoteAttempts(entry);
+        // Each node may always use its equal share; otherwise nodes with more traffic would starve the others until the next report.
+        const guaranteedSlots = Math.floor(capacity / this.observerCount) - entry.running;
+        return Math.min(localSlots, Math.max(guaranteedSlots, Math.floor(unusedCapacity)));
     }
 
     getCapacity(entry: EndpointEntry): number {
         return entry.load?.capacity ?? defaultCapacity;
     }
 
-    /** Estimates what other nodes run at an endpoint; an old report decays toward a neutral estimate. */
-    getOthersRunning(entry: EndpointEntry): number {
+    /** Estimates the attempts of other nodes at an endpoint; an aging load report decays toward the assumed load. */
+    computeRemoteAttempts(entry: EndpointEntry): number {
         if (this.observerCount === 1) {
             return 0;
         }
         const capacity = this.getCapacity(entry);
-        const ownShare = capacity / this.observerCount;
-        const neutral = Math.max(0, capacity * neutralLoadShare - ownShare * neutralLoadShare);
+        const localShare = capacity / this.observerCount;
+        const assumedAttempts = Math.max(0, capacity * assumedLoadShare - localShare * assumedLoadShare);
         if (entry.load === undefined) {
-            return neutral;
+            return assumedAttempts;
         }
-        const reported = Math.max(0, entry.load.running + entry.load.waiting - entry.runningAtReport);
+        const reportedAttempts = Math.max(0, entry.load.running + entry.load.waiting - entry.localRunningAtReport);
         const weight = Math.exp(-(this.clock.getMonotonicTime() - entry.loadAt) / loadDecayMilliseconds);
-        return reported * weight + neutral * (1 - weight);
+        return reportedAttempts * weight + assumedAttempts * (1 - weight);
     }
 
-    /** Returns the share of an endpoint's capacity that is believed to be in use. */
+    /** Returns the estimated share of an endpoint's capacity in use; exceeds 1 if the endpoint is overloaded. */
     getLoadShare(entry: EndpointEntry): number {
-        return (entry.running + this.getOthersRunning(entry)) / this.getCapacity(entry);
+        return (entry.running + this.computeRemoteAttempts(entry)) / this.getCapacity(entry);
     }
 
-    /** Takes over a load report; the age is in milliseconds. */
+    /** Records a load report unless a newer one is present. The age is in milliseconds. */
     recordLoad(name: string, load: LoadReport, age: number): void {
         const entry = this.entries.get(name);
         const reportedAt = this.clock.getMonotonicTime() - age;
@@ -179,30 +183,30 @@
             return;
         }
         if (entry.load === undefined) {
-            // The first report tells how much of the endpoint is this node's share.
-            entry.limit.setInitial(load.capacity / this.observerCount);
+            // The first report gives the capacity, and with it this node's share.
+            entry.limit.raiseToEstimate(load.capacity / this.observerCount);
         }
         entry.load = load;
         entry.loadAt = reportedAt;
-        entry.runningAtReport = entry.running;
+        entry.localRunningAtReport = entry.running;
         entry.limit.setMaximum(Math.min(this.maximumConcurrency, load.capacity));
         if (load.waiting > load.capacity * waitingShareLimit) {
-            // Many requests wait inside the endpoint: the nodes together send more than it runs.
+            // Many requests are queued inside the endpoint: the nodes together send more than it can run.
             entry.limit.recordRefusal(this.clock.getMonotonicTime());
         }
         if (load.leaving) {
             this.markLeaving(name, EndpointEvidence.OwnRefusal, undefined);
         }
-        else if (this.hasStayed(entry)) {
+        else if (this.hasWithdrawnLeaving(entry)) {
             this.setState(entry, EndpointState.Live, EndpointEvidence.Probe);
         }
         if (entry.state === EndpointState.Suspect && entry.suspectUntil <= this.clock.getMonotonicTime()) {
             this.setState(entry, EndpointState.Live, EndpointEvidence.Probe);
         }
-        this.notifyRoom(entry.description.group);
+        this.notifyFreeCapacity(entry.description.group);
     }
 
-    /** Marks an endpoint as leaving; the first evidence counts. The time is in Unix milliseconds. */
+    /** Marks an endpoint as leaving and keeps the first evidence. The removal time is in Unix milliseconds, undefined if unknown. */
     markLeaving(name: string, evidence: EndpointEvidence, leavesAt: number | undefined): void {
         const entry = this.entries.get(name);
         if (entry === undefined || entry.state === EndpointState.Gone) {
@@ -218,7 +222,7 @@
         }
     }
 
-    /** Records an attempt that ended well. */
+    /** Records a successful attempt; a suspect endpoint becomes live again. */
     recordSuccess(entry: EndpointEntry): void {
         entry.failures = 0;
         entry.limit.recordSuccess(entry.running);
@@ -227,42 +231,42 @@
         }
     }
 
-    /** Records that an endpoint could not be reached or lost a connection; it gets no work for a while. */
+    /** Records that an endpoint was unreachable or lost a connection, and makes it suspect for a time. */
     recordFailure(entry: EndpointEntry, evidence: EndpointEvidence): void {
         entry.failures += 1;
-        const wait = Math.min(suspectLimitMilliseconds, suspectMilliseconds * 2 ** (entry.failures - 1));
+        const wait = Math.min(maximumSuspectMilliseconds, initialSuspectMilliseconds * 2 ** (entry.failures - 1));
         entry.suspectUntil = this.clock.getMonotonicTime() + wait;
         if (entry.state === EndpointState.Live) {
             this.setState(entry, EndpointState.Suspect, evidence);
         }
     }
 
-    /** Records that an endpoint refused for lack of room. */
+    /** Records that an endpoint refused an attempt because it was full. */
     recordRefusal(entry: EndpointEntry): void {
         entry.limit.recordRefusal(this.clock.getMonotonicTime());
     }
 
-    /** Notes that an attempt starts at an endpoint. */
+    /** Counts an attempt that starts at an endpoint. */
     addAttempt(entry: EndpointEntry): void {
         entry.running += 1;
     }
 
-    /** Notes that an attempt ended at an endpoint, whatever the way. */
+    /** Removes an attempt from the count, however it ended. */
     removeAttempt(entry: EndpointEntry): void {
         entry.running -= 1;
-        checkInvariant(entry.running >= 0, "an attempt ended that had not started");
-        this.notifyRoom(entry.description.group);
+        checkInvariant(entry.running >= 0, "the count of running attempts at an endpoint fell below zero");
+        this.notifyFreeCapacity(entry.description.group);
     }
 
-    /** Says whether an endpoint that refused as leaving, without a notice, has since reported that it stays. */
-    private hasStayed(entry: EndpointEntry): boolean {
+    /** Returns whether an endpoint that refused an attempt as leaving, but whose removal was never announced, may be live again. */
+    private hasWithdrawnLeaving(entry: EndpointEntry): boolean {
         const isByRefusal = entry.state === EndpointState.Leaving && entry.evidence === EndpointEvidence.OwnRefusal;
         const isListedLive = entry.leavesAt === undefined && entry.description.state === HostState.Live;
-        return isByRefusal && isListedLive && this.clock.getWallTime() - entry.since > refusalMemoryMilliseconds;
+        return isByRefusal && isListedLive && this.clock.getWallTime() - entry.since > leavingRefusalRetentionMilliseconds;
     }
 
     private applyDescription(description: EndpointDescription): void {
-        if ((this.goneUntil.get(description.name) ?? 0) > this.clock.getMonotonicTime()) {
+        if ((this.removedUntilByName.get(description.name) ?? 0) > this.clock.getMonotonicTime()) {
             return;
         }
         const entry = this.entries.get(description.name) ?? this.addEntry(description);
@@ -285,7 +289,7 @@
             limit: ConcurrencyLimit.create(defaultCapacity, this.maximumConcurrency),
             load: undefined,
             loadAt: -Infinity,
-            runningAtReport: 0,
+            localRunningAtReport: 0,
             failures: 0,
             suspectUntil: 0,
             attempts: new Set(),
@@ -296,29 +300,29 @@
     }
 
     private removeEntry(entry: EndpointEntry): void {
-        this.goneUntil.set(entry.name, this.clock.getMonotonicTime() + goneMemoryMilliseconds);
+        this.removedUntilByName.set(entry.name, this.clock.getMonotonicTime() + removedEndpointRetentionMilliseconds);
         this.markLeaving(entry.name, EndpointEvidence.HostList, this.clock.getWallTime());
         this.setState(entry, EndpointState.Gone, EndpointEvidence.HostList);
         this.metrics.endpointState.remove({ endpoint: entry.name, state: EndpointState.Gone });
         this.entries.delete(entry.name);
-        this.removeOldMemories();
+        this.removeExpiredRemovals();
     }
 
-    private removeOldMemories(): void {
+    private removeExpiredRemovals(): void {
         const now = this.clock.getMonotonicTime();
-        for (const [name, until] of this.goneUntil) {
+        for (const [name, until] of this.removedUntilByName) {
             if (until <= now) {
-                this.goneUntil.delete(name);
+                this.removedUntilByName.delete(name);
             }
         }
     }
 
     private buildGroups(): void {
-        this.byGroup.clear();
+        this.entriesByGroup.clear();
         for (const entry of this.entries.values()) {
-            const members = this.byGroup.get(entry.description.group) ?? [];
+            const members = this.entriesByGroup.get(entry.description.group) ?? [];
             members.push(entry);
-            this.byGroup.set(entry.description.group, members);
+            this.entriesByGroup.set(entry.description.group, members);
         }
     }
 
@@ -331,10 +335,10 @@
         entry.since = this.clock.getWallTime();
     }
 
-    private notifyRoom(group?: string): void {
-        const groups = group === undefined ? [...this.byGroup.keys()] : [group];
+    private notifyFreeCapacity(group?: string): void {
+        const groups = group === undefined ? [...this.entriesByGroup.keys()] : [group];
         for (const listener of this.listeners) {
-            groups.forEach(name => listener.handleRoom(name));
+            groups.forEach(name => listener.handleFreeCapacity(name));
         }
     }
 }
--- a/src/requests/prefixIndex.ts
+++ b/src/requests/prefixIndex.ts
@@ -1,21 +1,21 @@
 import { createHash } from "node:crypto";
 
-/** Lengths, in characters, of the prompt prefixes that are compared. */
+/** Lengths of the indexed prompt prefixes, in characters. */
 export const prefixLengths: readonly number[] = [64, 128, 256, 512, 1_024, 2_048, 4_096, 8_192];
-/** Hash digits that name a prefix. */
+/** Hexadecimal digits of the hash that identifies a prefix. */
 const prefixKeyDigits = 16;
-/** Prefixes that a node remembers, over all endpoints. */
-const prefixLimit = 20_000;
-/** Weight of a new answer in the trust in an endpoint. */
-const trustWeight = 0.2;
+/** Maximum number of prefixes in the index, over all endpoints. */
+const indexedPrefixLimit = 20_000;
+/** Weight of a new response in the moving average of an endpoint's accuracy. */
+const accuracyWeight = 0.2;
 
-/** A prompt's prefixes, computed once for each request. */
+/** Keys of a prompt's prefixes, shortest first, and the prompt's length in characters. Computed once per request. */
 export interface PromptPrefixes {
     readonly length: number;
     readonly keys: readonly string[];
 }
 
-/** Computes the keys of a prompt's prefixes. */
+/** Computes the keys of a prompt's prefixes with one pass over the prompt. */
 export function createPromptPrefixes(prompt: string): PromptPrefixes {
     const keys: string[] = [];
     const hash = createHash("sha256");
@@ -31,11 +31,14 @@
     return { length: prompt.length, keys };
 }
 
-/** Which endpoint is believed to hold which prompt prefixes. Fed by routing and by cache events, corrected by answers. */
+/**
+ * Records which endpoints probably hold which prompt prefixes in their caches. Updated by routing decisions and cache
+ * events, and weighted by the cached share that endpoints report with their responses.
+ */
 export class PrefixIndex {
-    private readonly holders = new Map<string, Set<string>>();
-    /** How often an endpoint held what was believed, from 0 to 1: low where caches are small. */
-    private readonly trust = new Map<string, number>();
+    private readonly endpointsByPrefix = new Map<string, Set<string>>();
+    /** Moving average, from 0 to 1, of the reported share of the expected cached tokens. Low for endpoints with small caches. */
+    private readonly accuracyByEndpoint = new Map<string, number>();
 
     private constructor() {}
 
@@ -45,63 +48,63 @@
 
     /** Records that an endpoint holds a prefix. */
     addPrefix(key: string, endpoint: string): void {
-        const holders = this.holders.get(key) ?? new Set<string>();
+        const holders = this.endpointsByPrefix.get(key) ?? new Set<string>();
         holders.add(endpoint);
-        // Setting again keeps the most recently used prefixes last.
-        this.holders.delete(key);
-        this.holders.set(key, holders);
-        if (this.holders.size > prefixLimit) {
-            this.holders.delete(this.holders.keys().next().value as string);
+        // Inserting the key again moves it to the end, so that the least recently used prefix is evicted first.
+        this.endpointsByPrefix.delete(key);
+        this.endpointsByPrefix.set(key, holders);
+        if (this.endpointsByPrefix.size > indexedPrefixLimit) {
+            this.endpointsByPrefix.delete(this.endpointsByPrefix.keys().next().value as string);
         }
     }
 
     /** Records that an endpoint no longer holds a prefix. */
     removePrefix(key: string, endpoint: string): void {
-        const holders = this.holders.get(key);
+        const holders = this.endpointsByPrefix.get(key);
         holders?.delete(endpoint);
         if (holders?.size === 0) {
-            this.holders.delete(key);
+            this.endpointsByPrefix.delete(key);
         }
     }
 
-    /** Records that an endpoint is about to compute a prompt. */
+    /** Records all prefixes of a prompt that is sent to an endpoint. */
     addPrompt(prefixes: PromptPrefixes, endpoint: string): void {
         prefixes.keys.forEach(key => this.addPrefix(key, endpoint));
     }
 
-    /** Corrects the trust in what is believed of an endpoint by the share of the prompt that it reported as cached. */
+    /** Updates an endpoint's accuracy with the cached share of a prompt that it reported. Both shares are from 0 to 1. */
     recordCachedShare(endpoint: string, expectedShare: number, cachedShare: number): void {
         if (expectedShare <= 0) {
             return;
         }
         const observed = Math.min(1, cachedShare / expectedShare);
-        const trust = this.trust.get(endpoint) ?? 1;
-        this.trust.set(endpoint, trust * (1 - trustWeight) + observed * trustWeight);
+        const accuracyByEndpoint = this.accuracyByEndpoint.get(endpoint) ?? 1;
+        this.accuracyByEndpoint.set(endpoint, accuracyByEndpoint * (1 - accuracyWeight) + observed * accuracyWeight);
     }
 
-    /** Returns the share of a prompt, from 0 to 1, that an endpoint is believed to hold. */
+    /** Returns the expected share of a prompt, from 0 to 1, that an endpoint holds in its cache. */
     getCachedShare(prefixes: PromptPrefixes, endpoint: string): number {
         for (let index = prefixes.keys.length - 1; index >= 0; index -= 1) {
-            if (this.holders.get(prefixes.keys[index] as string)?.has(endpoint) === true) {
+            if (this.endpointsByPrefix.get(prefixes.keys[index] as string)?.has(endpoint) === true) {
                 const share = (prefixLengths[index] as number) / prefixes.length;
-                return share * (this.trust.get(endpoint) ?? 1);
+                return share * (this.accuracyByEndpoint.get(endpoint) ?? 1);
             }
         }
         return 0;
     }
 
-    /** Forgets an endpoint whose cache is lost. */
+    /** Removes an endpoint whose cache is lost. */
     removeEndpoint(endpoint: string): void {
-        this.trust.delete(endpoint);
-        for (const [key, holders] of this.holders) {
+        this.accuracyByEndpoint.delete(endpoint);
+        for (const [key, holders] of this.endpointsByPrefix) {
             holders.delete(endpoint);
             if (holders.size === 0) {
-                this.holders.delete(key);
+                this.endpointsByPrefix.delete(key);
             }
         }
     }
 
     countPrefixes(): number {
-        return this.holders.size;
+        return this.endpointsByPrefix.size;
     }
 }
--- a/src/requests/quarantineLedger.ts
+++ b/src/requests/quarantineLedger.ts
@@ -1,49 +1,52 @@
 import { Clock } from "../common/clock.js";
 
-/** Endpoints that a request must have ended before it is quarantined. */
-const deathsUntilQuarantine = 2;
-/** Deaths, also those that the request was later cleared of, after which it is quarantined all the same. */
-const totalDeathsUntilQuarantine = 4;
-/** Fingerprints that a node remembers. */
-const ledgerLimit = 5_000;
-
-/** What is known of one request body. */
+/** Endpoint crashes counted against a request after which it is quarantined. */
+const quarantineCrashCount = 2;
+/** Endpoint crashes, including those that the request was cleared of, after which it is quarantined. */
+const quarantineTotalCrashCount = 4;
+/** Maximum number of fingerprints in the ledger. */
+const ledgerEntryLimit = 5_000;
+
+/** Endpoints whose crashes are counted against one request body. */
 export interface FingerprintRecord {
     readonly fingerprint: string;
     readonly endpoints: readonly string[];
-    /** Unix milliseconds until which the record counts. */
+    /** Unix time in milliseconds at which the record expires. */
     readonly until: number;
 }
 
 interface LedgerEntry {
     readonly endpoints: Set<string>;
-    /** Endpoints whose deaths the request was cleared of; another node's record does not bring them back. */
+    /** Endpoints whose crashes the request was cleared of; merging a peer's record does not count them again. */
     readonly cleared: Set<string>;
     until: number;
 }
 
-/** Which request bodies ended which endpoints. Records merge by union, so their order does not matter. */
+/**
+ * Records which request bodies may have crashed which endpoints, so that poison requests are quarantined. Records merge by
+ * set union, so their order does not matter.
+ */
 export class QuarantineLedger {
     private readonly entries = new Map<string, LedgerEntry>();
 
-    private constructor(private readonly clock: Clock, private readonly term: number) {}
+    private constructor(private readonly clock: Clock, private readonly retentionMilliseconds: number) {}
 
-    /** The term is in milliseconds. */
-    static create(clock: Clock, term: number): QuarantineLedger {
-        return new QuarantineLedger(clock, term);
+    /** Creates an empty ledger whose records expire after the retention time, in milliseconds. */
+    static create(clock: Clock, retentionMilliseconds: number): QuarantineLedger {
+        return new QuarantineLedger(clock, retentionMilliseconds);
     }
 
-    /** Whether no request is known to have ended an endpoint. */
+    /** Returns whether the ledger has no entry. */
     isEmpty(): boolean {
         return this.entries.size === 0;
     }
 
-    /** Adds the death of an endpoint to a fingerprint. */
+    /** Counts the crash of an endpoint against a fingerprint. */
     recordDeath(fingerprint: string, endpoint: string): void {
-        this.mergeRecord({ fingerprint, endpoints: [endpoint], until: this.clock.getWallTime() + this.term });
+        this.mergeRecord({ fingerprint, endpoints: [endpoint], until: this.clock.getWallTime() + this.retentionMilliseconds });
     }
 
-    /** Takes over what another node knows; returns whether anything was new. */
+    /** Merges a record of a peer; returns whether it added a crash. */
     mergeRecord(record: FingerprintRecord): boolean {
         if (record.until <= this.clock.getWallTime()) {
             return false;
@@ -51,11 +54,11 @@
         const entry = this.entries.get(record.fingerprint) ?? this.addEntry(record.fingerprint);
         const countBefore = entry.endpoints.size;
         record.endpoints.filter(endpoint => !entry.cleared.has(endpoint)).forEach(endpoint => entry.endpoints.add(endpoint));
-        entry.until = Math.max(entry.until, Math.min(record.until, this.clock.getWallTime() + this.term));
+        entry.until = Math.max(entry.until, Math.min(record.until, this.clock.getWallTime() + this.retentionMilliseconds));
         return entry.endpoints.size > countBefore;
     }
 
-    /** Clears a request that ran on, past the point of the death, alone under suspicion. */
+    /** Clears a suspect request that held the suspect lock and ran past the point of the crash. A quarantined request stays so. */
     removeSuspicion(fingerprint: string): void {
         const entry = this.entries.get(fingerprint);
         if (entry === undefined || this.isQuarantined(fingerprint)) {
@@ -65,56 +68,56 @@
         entry.endpoints.clear();
     }
 
-    /** Clears a request of the deaths of endpoints: it was served, so they had another cause. */
+    /** Clears a request of crashes of the given endpoints: the request was served, so the crashes had another cause. */
     removeDeaths(fingerprint: string, endpoints: readonly string[]): void {
         const entry = this.entries.get(fingerprint) ?? this.addEntry(fingerprint);
-        entry.until = Math.max(entry.until, this.clock.getWallTime() + this.term);
+        entry.until = Math.max(entry.until, this.clock.getWallTime() + this.retentionMilliseconds);
         endpoints.forEach(endpoint => {
             entry.endpoints.delete(endpoint);
             entry.cleared.add(endpoint);
         });
     }
 
-    /** Returns the deaths that requests were cleared of, for nodes that still count them. */
+    /** Returns the crashes that requests were cleared of, for peers that still count them. */
     listCleared(): Omit<FingerprintRecord, "until">[] {
         return [...this.entries]
             .filter(([, entry]) => entry.cleared.size > 0 && entry.until > this.clock.getWallTime())
             .map(([fingerprint, entry]) => ({ fingerprint, endpoints: [...entry.cleared] }));
     }
 
-    /** Returns the endpoints that a request is believed to have ended. */
+    /** Returns the endpoints whose crashes are counted against a request. */
     listDeaths(fingerprint: string): string[] {
-        return [...this.findLive(fingerprint)?.endpoints ?? []];
+        return [...this.findUnexpired(fingerprint)?.endpoints ?? []];
     }
 
-    /** Takes back the deaths of an endpoint that, as it turned out, was reclaimed. */
+    /** Removes the crashes of an endpoint that turned out to have been reclaimed by the platform. */
     removeEndpoint(endpoint: string): void {
         for (const entry of this.entries.values()) {
             entry.endpoints.delete(endpoint);
         }
     }
 
-    /** Returns how many endpoints a request is believed to have ended. */
+    /** Returns the number of crashes counted against a request. */
     countDeaths(fingerprint: string): number {
-        return this.findLive(fingerprint)?.endpoints.size ?? 0;
+        return this.findUnexpired(fingerprint)?.endpoints.size ?? 0;
     }
 
-    /** Says whether a request needs to run alone under suspicion. */
+    /** Returns whether a request is suspect and needs the endpoint's suspect lock to run. */
     isSuspect(fingerprint: string): boolean {
         return this.countDeaths(fingerprint) > 0;
     }
 
-    /** Says whether a request is to be refused. */
+    /** Returns whether a request is quarantined and must be refused. */
     isQuarantined(fingerprint: string): boolean {
-        const entry = this.findLive(fingerprint);
+        const entry = this.findUnexpired(fingerprint);
         if (entry === undefined) {
             return false;
         }
         const total = entry.endpoints.size + entry.cleared.size;
-        return entry.endpoints.size >= deathsUntilQuarantine || total >= totalDeathsUntilQuarantine;
+        return entry.endpoints.size >= quarantineCrashCount || total >= quarantineTotalCrashCount;
     }
 
-    /** Returns the records that count now, the newest last. */
+    /** Returns the unexpired records with counted crashes, the most recently added last. */
     listRecords(): FingerprintRecord[] {
         const records: FingerprintRecord[] = [];
         for (const [fingerprint, entry] of this.entries) {
@@ -125,7 +128,7 @@
         return records;
     }
 
-    private findLive(fingerprint: string): LedgerEntry | undefined {
+    private findUnexpired(fingerprint: string): LedgerEntry | undefined {
         const entry = this.entries.get(fingerprint);
         if (entry === undefined) {
             return undefined;
@@ -138,7 +141,7 @@
     }
 
     private addEntry(fingerprint: string): LedgerEntry {
-        if (this.entries.size >= ledgerLimit) {
+        if (this.entries.size >= ledgerEntryLimit) {
             this.entries.delete(this.entries.keys().next().value as string);
         }
         const entry: LedgerEntry = { endpoints: new Set(), cleared: new Set(), until: 0 };
--- a/src/requests/queries/endpointSelector.ts
+++ b/src/requests/queries/endpointSelector.ts
@@ -4,7 +4,7 @@
 import { EndpointEntry, EndpointRegistry } from "../endpointRegistry.js";
 import { PrefixIndex, PromptPrefixes } from "../prefixIndex.js";
 
-/** What a request needs of an endpoint. */
+/** Requirements and preferences of a request for an endpoint. */
 export interface EndpointQuery {
     readonly group: string;
     /** Model that the endpoint must serve, or undefined for plain services. */
@@ -12,87 +12,87 @@
     readonly priority: Priority;
     readonly weights: RoutingWeights;
     readonly prefixes: PromptPrefixes | undefined;
-    /** Endpoints that the request must not go to again. */
+    /** Names of endpoints that the request must not be sent to again. */
     readonly excluded: ReadonlySet<string>;
-    /** The only endpoint allowed, or undefined for any. */
-    readonly pinned: string | undefined;
-    /** Time that the endpoint must stay, in milliseconds; 0 when the request can be moved. */
-    readonly mustStay: number;
+    /** Name of the only endpoint allowed, or undefined if any is. */
+    readonly pinnedEndpoint: string | undefined;
+    /** If above 0, endpoints with an announced removal are excluded and reclaimable ones penalized; 0 if the request can be moved. */
+    readonly minimumStayMilliseconds: number;
 }
 
 /** Chooses the endpoint for a request. */
 export interface EndpointSelector {
-    /** Returns an endpoint with room, or undefined when there is none now. */
+    /** Returns an endpoint with a free slot, or undefined if there is none now. */
     selectEndpoint(query: EndpointQuery): EndpointEntry | undefined;
 }
 
-/** Where a node stands; routing prefers endpoints nearby. */
-export interface NodePlace {
+/** Failure domain and region of a node; routing prefers endpoints in the same ones. */
+export interface NodeLocation {
     readonly failureDomain: string;
     readonly region: string;
 }
 
-/** Share of an endpoint's capacity that drafts may use, so that a lookup finds room. */
+/** Share of an endpoint's capacity that drafts may use, so that lookups find free slots. */
 const draftCapacityShare = 0.75;
-/** Share of a foreign endpoint's capacity up to which a node may use it. */
-const spillCapacityShare = 0.6;
-/** Score added for an endpoint in another failure domain, in units of a full endpoint. */
-const domainDistance = 1;
-/** Score added for an endpoint in another region. */
-const regionDistance = 3;
-/** Score added for sending work that may not be repeated to a reclaimable host. */
-const reclaimableRisk = 1;
-/** Prompt length, in characters, from which a cached prefix counts in full. */
+/** A node sends requests to an endpoint of another failure domain only while its load is below this share of its capacity. */
+const remoteCapacityShare = 0.6;
+/** Score penalty of an endpoint in another failure domain; 1 equals the load of a full endpoint. */
+const domainDistancePenalty = 1;
+/** Score penalty of an endpoint in another region. */
+const regionDistancePenalty = 3;
+/** Score penalty of a reclaimable host for a request that cannot be moved. */
+const reclaimablePenalty = 1;
+/** Prompt length in characters from which a cached prefix has its full weight. */
 const fullPrefixCharacters = 1_024;
 
-/** Returns the endpoints with room that may get a request. */
-export function listCandidates(registry: EndpointRegistry, place: NodePlace, query: EndpointQuery): EndpointEntry[] {
-    return registry.listGroup(query.group).filter(entry => isCandidate(registry, place, query, entry));
+/** Returns the endpoints that a request may be sent to now; all have a free slot, except a pinned endpoint. */
+export function listCandidates(registry: EndpointRegistry, location: NodeLocation, query: EndpointQuery): EndpointEntry[] {
+    return registry.listGroup(query.group).filter(entry => isCandidate(registry, location, query, entry));
 }
 
-function isCandidate(registry: EndpointRegistry, place: NodePlace, query: EndpointQuery, entry: EndpointEntry): boolean {
+function isCandidate(registry: EndpointRegistry, location: NodeLocation, query: EndpointQuery, entry: EndpointEntry): boolean {
     if (query.excluded.has(entry.name) || !registry.isEligible(entry)) {
         return false;
     }
-    if (query.pinned !== undefined) {
-        // A request under suspicion waits for its own endpoint's lane, not for room.
-        return entry.name === query.pinned;
+    if (query.pinnedEndpoint !== undefined) {
+        // A suspect request waited for its endpoint's suspect lock and needs no free slot.
+        return entry.name === query.pinnedEndpoint;
     }
     if (query.model !== undefined && entry.load !== undefined && entry.load.models.length > 0 && !entry.load.models.includes(query.model)) {
         return false;
     }
-    if (query.mustStay > 0 && entry.leavesAt !== undefined) {
+    if (query.minimumStayMilliseconds > 0 && entry.leavesAt !== undefined) {
         return false;
     }
-    if (registry.getRoom(entry) < 1) {
+    if (registry.getFreeSlots(entry) < 1) {
         return false;
     }
-    return hasShareLeft(registry, place, query, entry);
+    return hasCapacityShareLeft(registry, location, query, entry);
 }
 
-function hasShareLeft(registry: EndpointRegistry, place: NodePlace, query: EndpointQuery, entry: EndpointEntry): boolean {
+function hasCapacityShareLeft(registry: EndpointRegistry, location: NodeLocation, query: EndpointQuery, entry: EndpointEntry): boolean {
     const load = registry.getLoadShare(entry);
     if (query.priority === Priority.Draft && load >= draftCapacityShare) {
         return false;
     }
-    const isForeign = entry.description.failureDomain !== place.failureDomain;
-    return !isForeign || load < spillCapacityShare;
+    const isRemote = entry.description.failureDomain !== location.failureDomain;
+    return !isRemote || load < remoteCapacityShare;
 }
 
-/** Weighs load, distance, price and cached prefixes by the service's own weights. */
+/** Selects the endpoint with the lowest sum of load, distance, price and cached prefixes, weighted by the service's settings. */
 export class WeightedSelector implements EndpointSelector {
     private constructor(
         private readonly registry: EndpointRegistry,
         private readonly prefixIndex: PrefixIndex,
-        private readonly place: NodePlace,
+        private readonly location: NodeLocation,
     ) {}
 
-    static create(registry: EndpointRegistry, prefixIndex: PrefixIndex, place: NodePlace): WeightedSelector {
-        return new WeightedSelector(registry, prefixIndex, place);
+    static create(registry: EndpointRegistry, prefixIndex: PrefixIndex, location: NodeLocation): WeightedSelector {
+        return new WeightedSelector(registry, prefixIndex, location);
     }
 
     selectEndpoint(query: EndpointQuery): EndpointEntry | undefined {
-        const candidates = listCandidates(this.registry, this.place, query);
+        const candidates = listCandidates(this.registry, this.location, query);
         const highestPrice = candidates.reduce((highest, entry) => Math.max(highest, entry.description.pricePerHour), 0);
         let best: EndpointEntry | undefined;
         let bestScore = Infinity;
@@ -106,21 +106,22 @@
         return best;
     }
 
-    /** Computes a score; the lowest is best. */
+    /** Computes an endpoint's score; the lowest score is best. */
     private computeScore(query: EndpointQuery, entry: EndpointEntry, highestPrice: number): number {
         const { weights } = query;
         const load = this.registry.getLoadShare(entry);
         const price = highestPrice > 0 ? entry.description.pricePerHour / highestPrice : 0;
-        const risk = query.mustStay > 0 && entry.description.purchase === PurchaseKind.Reclaimable ? reclaimableRisk : 0;
-        return weights.latency * (load + this.getDistance(entry)) + weights.cost * price - weights.prefix * this.getPrefixGain(query, entry)
+        const risk = query.minimumStayMilliseconds > 0 && entry.description.purchase === PurchaseKind.Reclaimable ? reclaimablePenalty : 0;
+        return weights.latency * (load + this.getDistancePenalty(entry)) + weights.cost * price
+            - weights.prefix * this.getPrefixGain(query, entry)
             + risk;
     }
 
-    private getDistance(entry: EndpointEntry): number {
-        if (entry.description.failureDomain === this.place.failureDomain) {
+    private getDistancePenalty(entry: EndpointEntry): number {
+        if (entry.description.failureDomain === this.location.failureDomain) {
             return 0;
         }
-        return entry.description.region === this.place.region ? domainDistance : regionDistance;
+        return entry.description.region === this.location.region ? domainDistancePenalty : regionDistancePenalty;
     }
 
     private getPrefixGain(query: EndpointQuery, entry: EndpointEntry): number {
@@ -132,39 +133,39 @@
     }
 }
 
-/** Takes the candidate with the least load. A baseline for measurements. */
+/** Selects the candidate with the least load. Baseline for measurements. */
 export class LeastLoadSelector implements EndpointSelector {
-    private constructor(private readonly registry: EndpointRegistry, private readonly place: NodePlace) {}
+    private constructor(private readonly registry: EndpointRegistry, private readonly location: NodeLocation) {}
 
-    static create(registry: EndpointRegistry, place: NodePlace): LeastLoadSelector {
-        return new LeastLoadSelector(registry, place);
+    static create(registry: EndpointRegistry, location: NodeLocation): LeastLoadSelector {
+        return new LeastLoadSelector(registry, location);
     }
 
     selectEndpoint(query: EndpointQuery): EndpointEntry | undefined {
-        const candidates = listCandidates(this.registry, this.place, query);
+        const candidates = listCandidates(this.registry, this.location, query);
         candidates.sort((left, right) => this.registry.getLoadShare(left) - this.registry.getLoadShare(right));
         return candidates[0];
     }
 }
 
-/** Takes the candidates in turn. A baseline for measurements. */
+/** Selects the candidates in turn. Baseline for measurements. */
 export class RoundRobinSelector implements EndpointSelector {
-    private turn = 0;
+    private selectionCount = 0;
 
-    private constructor(private readonly registry: EndpointRegistry, private readonly place: NodePlace) {}
+    private constructor(private readonly registry: EndpointRegistry, private readonly location: NodeLocation) {}
 
-    static create(registry: EndpointRegistry, place: NodePlace): RoundRobinSelector {
-        return new RoundRobinSelector(registry, place);
+    static create(registry: EndpointRegistry, location: NodeLocation): RoundRobinSelector {
+        return new RoundRobinSelector(registry, location);
     }
 
     selectEndpoint(query: EndpointQuery): EndpointEntry | undefined {
-        const candidates = listCandidates(this.registry, this.place, query);
-        this.turn += 1;
-        return candidates[this.turn % Math.max(1, candidates.length)];
+        const candidates = listCandidates(this.registry, this.location, query);
+        this.selectionCount += 1;
+        return candidates[this.selectionCount % Math.max(1, candidates.length)];
     }
 }
 
-/** Returns the endpoints that could serve a query if they had room. */
+/** Returns the endpoints that could serve a query, regardless of free slots. */
 export function listPossibleEndpoints(registry: EndpointRegistry, query: EndpointQuery): EndpointEntry[] {
     return registry.listGroup(query.group).filter(entry => {
         const isUsable = entry.state === EndpointState.Live || entry.state === EndpointState.Suspect;
--- a/src/requests/requestCodec.ts
+++ b/src/requests/requestCodec.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { ModelRequest } from "./types.js";
 
-/** The shape in which a generation is stored with the platform and handed between nodes. */
+/** Schema of a generation request as stored with the platform and sent between nodes. */
 export const storedRequestSchema = z.object({
     id: z.string(),
     team: z.string(),
@@ -17,7 +17,7 @@
 });
 export type StoredRequest = z.infer<typeof storedRequestSchema>;
 
-/** Converts a request to its stored shape. */
+/** Converts a request to its stored form. */
 export function encodeRequest(request: ModelRequest): StoredRequest {
     return {
         id: request.id,
@@ -34,7 +34,7 @@
     };
 }
 
-/** Converts a stored request back. */
+/** Converts a stored request to a model request. */
 export function decodeRequest(stored: StoredRequest): ModelRequest {
     return {
         id: stored.id,
--- a/src/requests/requestRecord.ts
+++ b/src/requests/requestRecord.ts
@@ -4,7 +4,7 @@
 import { GenerationEnd } from "../endpoints/types.js";
 import { AttemptOutcome, AttemptRecord, ModelRequest, RequestEnd, RequestOutcome } from "./types.js";
 
-/** What operators read of a request. */
+/** Summary of a request and its attempts, as the operator interface returns it. The arrival time is in Unix milliseconds. */
 export interface RequestExplanation {
     readonly id: string;
     readonly team: string;
@@ -18,7 +18,7 @@
     readonly hops: readonly string[];
 }
 
-/** Attempts, verdict and hops, which every kind of request has. */
+/** Records the attempts, the verdict and the hops of a generation or a plain call. */
 export class RequestHistory {
     readonly attempts: AttemptRecord[] = [];
     readonly hops: string[] = [];
@@ -47,7 +47,7 @@
         return attempt;
     }
 
-    /** Records the end of an attempt and raises the request's verdict with it. */
+    /** Records the end of an attempt and raises the request's verdict to at least the attempt's. */
     finishAttempt(attempt: AttemptRecord, outcome: AttemptOutcome, verdict: Verdict, text: string, endedAt: number): void {
         attempt.outcome = outcome;
         attempt.verdict = verdict;
@@ -57,22 +57,22 @@
     }
 }
 
-/** A generation in progress: its tokens so far, its attempts and its end. Callers read from it at any offset. */
+/** Holds a generation's tokens so far, its attempts and its end, so that callers can read the stream from any offset. */
 export class RequestRecord {
     readonly tokens: string[] = [];
     readonly history = RequestHistory.create();
     readonly cancellation = new AbortController();
-    /** Set when the node is to give the request to another one. */
+    /** Whether a peer has adopted the request. */
     isHandedOver = false;
     readerCount = 0;
     firstTokenAt: number | undefined;
-    /** Tokens of an answer that was stored as one text; undefined for a live record. */
+    /** Number of tokens of a response that was stored as one text; undefined for a record with a token per element. */
     storedTokenCount: number | undefined;
     private end: RequestEnd | undefined;
     private currentAttemptId = "";
-    /** Tokens that came while the record was frozen; undefined while it is not. */
-    private held: string[] | undefined;
-    private readonly waiters = new Set<() => void>();
+    /** Tokens received while buffering; undefined while not buffering. */
+    private bufferedTokens: string[] | undefined;
+    private readonly listeners = new Set<() => void>();
 
     private constructor(readonly request: ModelRequest, readonly span: Span) {}
 
@@ -82,93 +82,93 @@
         return record;
     }
 
-    /** Returns how many tokens the answer has so far. */
+    /** Returns the number of tokens of the response so far. */
     countTokens(): number {
         return this.storedTokenCount ?? this.tokens.length;
     }
 
-    /** Makes an attempt the only one whose tokens count. */
+    /** Makes an attempt the current one; tokens of all others are rejected. */
     startAttempt(attempt: AttemptRecord): void {
         this.currentAttemptId = attempt.attemptId;
     }
 
-    /** Adds a token of an attempt; returns false when the attempt is no longer the current one. */
+    /** Adds a token of an attempt; returns false if the attempt is not the current one or the request has ended. */
     appendToken(attemptId: string, text: string): boolean {
         if (attemptId !== this.currentAttemptId || this.end !== undefined) {
             return false;
         }
-        if (this.held !== undefined) {
-            this.held.push(text);
+        if (this.bufferedTokens !== undefined) {
+            this.bufferedTokens.push(text);
             return true;
         }
         this.tokens.push(text);
-        this.notifyWaiters();
+        this.notifyListeners();
         return true;
     }
 
-    /** Keeps new tokens aside, while another node is asked to go on from here. */
-    stopAppending(): void {
-        this.held ??= [];
+    /** Buffers new tokens while the request is offered to a peer, which continues from the tokens so far. */
+    startBuffering(): void {
+        this.bufferedTokens ??= [];
     }
 
-    /** Takes in the tokens kept aside: the request stays here after all. */
-    resumeAppending(): void {
-        this.tokens.push(...this.held ?? []);
-        this.held = undefined;
-        this.notifyWaiters();
+    /** Appends the buffered tokens and stops buffering; called if no peer adopted the request or the request ended. */
+    flushBufferedTokens(): void {
+        this.tokens.push(...this.bufferedTokens ?? []);
+        this.bufferedTokens = undefined;
+        this.notifyListeners();
     }
 
-    /** Adds a token that another node relayed. */
+    /** Adds a token that a peer relayed. */
     appendRelayedToken(text: string): void {
         this.tokens.push(text);
-        this.notifyWaiters();
+        this.notifyListeners();
     }
 
-    /** Ends the request with a whole answer. */
+    /** Ends the request with a complete response. */
     finish(generation: GenerationEnd): void {
-        this.settleEnd({ outcome: RequestOutcome.Finished, generation, failure: undefined });
+        this.setEnd({ outcome: RequestOutcome.Finished, generation, failure: undefined });
     }
 
-    /** Ends the request with a failure, whose verdict is raised to that of the attempts. */
+    /** Ends the request with a failure, whose verdict is raised to at least that of the attempts. */
     finishWithFailure(failure: Failure): void {
         const verdict = raiseVerdict(this.history.verdict, failure.verdict);
         this.history.verdict = verdict;
         const outcome = verdict === Verdict.NotRun ? RequestOutcome.Refused : RequestOutcome.Failed;
-        this.settleEnd({ outcome, generation: undefined, failure: failure.setVerdict(verdict) });
+        this.setEnd({ outcome, generation: undefined, failure: failure.setVerdict(verdict) });
     }
 
-    /** Ends the record because the caller went away or another node owns the request now. */
+    /** Ends the record because the request was cancelled or a peer adopted it. */
     finishWithoutAnswer(outcome: RequestOutcome.Cancelled | RequestOutcome.HandedOver): void {
-        this.settleEnd({ outcome, generation: undefined, failure: undefined });
+        this.setEnd({ outcome, generation: undefined, failure: undefined });
     }
 
     getEnd(): RequestEnd | undefined {
         return this.end;
     }
 
-    /** Calls a listener at every change; the function returned ends that. */
+    /** Calls a listener after every change; returns a function that removes the listener. */
     addListener(listener: () => void): () => void {
-        this.waiters.add(listener);
-        return () => this.waiters.delete(listener);
+        this.listeners.add(listener);
+        return () => this.listeners.delete(listener);
     }
 
-    /** Waits until the record holds more than a number of tokens, or has ended, or the signal aborts. */
+    /** Waits until the record has more than the given number of tokens or has ended, or the signal aborts. */
     async waitForChange(tokenCount: number, signal: AbortSignal): Promise<void> {
         if (this.tokens.length > tokenCount || this.end !== undefined || signal.aborted) {
             return;
         }
         await new Promise<void>(resolve => {
-            const settle = () => {
-                this.waiters.delete(settle);
-                signal.removeEventListener("abort", settle);
+            const handleChange = () => {
+                this.listeners.delete(handleChange);
+                signal.removeEventListener("abort", handleChange);
                 resolve();
             };
-            this.waiters.add(settle);
-            signal.addEventListener("abort", settle, { once: true });
+            this.listeners.add(handleChange);
+            signal.addEventListener("abort", handleChange, { once: true });
         });
     }
 
-    /** Returns what operators read of the request. */
+    /** Returns the summary of the request for operators. */
     createExplanation(): RequestExplanation {
         return {
             id: this.request.id,
@@ -184,21 +184,21 @@
         };
     }
 
-    private settleEnd(end: RequestEnd): void {
+    private setEnd(end: RequestEnd): void {
         if (this.end !== undefined) {
             return;
         }
         if (end.outcome !== RequestOutcome.HandedOver) {
-            this.resumeAppending();
+            this.flushBufferedTokens();
         }
         this.end = end;
-        this.notifyWaiters();
+        this.notifyListeners();
     }
 
-    private notifyWaiters(): void {
-        // A waiter may remove itself meanwhile; sets allow that.
-        for (const waiter of this.waiters) {
-            waiter();
+    private notifyListeners(): void {
+        // A listener may remove itself during the iteration, which a Set allows.
+        for (const listener of this.listeners) {
+            listener();
         }
     }
 }
--- a/src/requests/requestService.ts
+++ b/src/requests/requestService.ts
@@ -13,11 +13,11 @@
 import { RequestTable } from "./requestTable.js";
 import { ModelRequest, RequestOutcome } from "./types.js";
 
-/** Time for which a generation goes on after its caller went away, so that the caller can attach again, in milliseconds. */
+/** Time for which a generation continues after its caller disconnected, so that the caller can attach again. */
 const reattachGraceMilliseconds = 10_000;
 
-/** The parts of a node that the request service needs. */
-export interface RequestServiceParts {
+/** Dependencies of the request service. */
+export interface RequestServiceDependencies {
     readonly clock: Clock;
     readonly metrics: Metrics;
     readonly tracing: Tracing;
@@ -28,29 +28,29 @@
     readonly owner: DraftOwner;
 }
 
-/** Starts generations, keeps them running without their callers, and finds them again. */
+/** Starts and adopts generations, and keeps them running for a time after their callers disconnected. */
 export class RequestService {
     private readonly stopping = new AbortController();
-    private readonly draftIds = new Set<string>();
+    private readonly ownedDraftIds = new Set<string>();
 
-    private constructor(private readonly parts: RequestServiceParts) {}
+    private constructor(private readonly dependencies: RequestServiceDependencies) {}
 
-    static create(parts: RequestServiceParts): RequestService {
-        return new RequestService(parts);
+    static create(dependencies: RequestServiceDependencies): RequestService {
+        return new RequestService(dependencies);
     }
 
-    /** Starts a generation; the record that is returned ends when it does. */
+    /** Starts a generation, after the given tokens if any, and returns its record at once. */
     startRequest(request: ModelRequest, service: ServiceDeclaration, span: Span, tokens: readonly string[] = []): RequestRecord {
         const record = RequestRecord.create(request, span, tokens);
-        this.parts.table.addRecord(record);
-        record.history.hops.push(this.parts.owner.name);
+        this.dependencies.table.addRecord(record);
+        record.history.hops.push(this.dependencies.owner.name);
         void this.runRecord(record, service);
         return record;
     }
 
-    /** Stores a generation with the platform and starts it; it is accepted only when it is stored. */
+    /** Stores an asynchronous generation with the platform, then starts it. Fails without starting it if it could not be stored. */
     async startDraft(request: ModelRequest, service: ServiceDeclaration, span: Span): Promise<Result<RequestRecord, Failure>> {
-        const stored = await this.parts.drafts.storeRequest(request, this.parts.owner);
+        const stored = await this.dependencies.drafts.storeRequest(request, this.dependencies.owner);
         if (stored.err) {
             span.end();
             return stored;
@@ -58,48 +58,48 @@
         return Ok(this.runDraft(request, service, span, []));
     }
 
-    /** Takes over a stored generation whose owner is gone. */
+    /** Adopts a stored generation whose owner was lost; returns false if another node adopted it first or it cannot run here. */
     async adoptDraft(draft: Draft, tokens: readonly string[] = []): Promise<boolean> {
-        const service = this.parts.configuration.findService(draft.request.service);
-        if (service === undefined || draft.state !== DraftState.Pending || this.draftIds.has(draft.request.id)) {
+        const service = this.dependencies.configuration.findService(draft.request.service);
+        if (service === undefined || draft.state !== DraftState.Pending || this.ownedDraftIds.has(draft.request.id)) {
             return false;
         }
-        const adopted = await this.parts.drafts.adoptDraft(draft, this.parts.owner);
-        this.parts.metrics.adoptions.inc({ outcome: adopted.ok ? "adopted" : "lost-race" });
+        const adopted = await this.dependencies.drafts.adoptDraft(draft, this.dependencies.owner);
+        this.dependencies.metrics.adoptions.inc({ outcome: adopted.ok ? "adopted" : "lost-race" });
         if (adopted.err) {
             return false;
         }
-        const span = this.parts.tracing.startSpanFromHeaders("adopted request", {});
+        const span = this.dependencies.tracing.startSpanFromHeaders("adopted request", {});
         this.runDraft(draft.request, service, span, tokens);
         return true;
     }
 
-    /** Takes over a generation that another node hands on. */
+    /** Adopts a generation that a peer hands over; returns false if this node cannot run it. */
     async adoptRequest(request: ModelRequest, tokens: readonly string[]): Promise<boolean> {
-        const service = this.parts.configuration.findService(request.service);
+        const service = this.dependencies.configuration.findService(request.service);
         if (service === undefined || this.stopping.signal.aborted) {
             return false;
         }
         if (request.isAsync) {
-            const draft = await this.parts.drafts.findDraft(request.id);
+            const draft = await this.dependencies.drafts.findDraft(request.id);
             if (draft.ok && draft.val !== undefined) {
                 return this.adoptDraft(draft.val, tokens);
             }
             return false;
         }
-        this.parts.metrics.adoptions.inc({ outcome: "handed-over" });
-        const span = this.parts.tracing.startSpanFromHeaders("adopted request", {});
+        this.dependencies.metrics.adoptions.inc({ outcome: "handed-over" });
+        const span = this.dependencies.tracing.startSpanFromHeaders("adopted request", {});
         const record = this.startRequest(request, service, span, tokens);
         this.scheduleCancel(record);
         return true;
     }
 
-    /** Notes that a caller reads from a record. */
+    /** Counts a caller that starts to read from a record. */
     addReader(record: RequestRecord): void {
         record.readerCount += 1;
     }
 
-    /** Notes that a caller has stopped reading; without another reader the generation is cancelled after a while. */
+    /** Counts a caller that stopped reading; without another reader the generation is cancelled after the grace time. */
     removeReader(record: RequestRecord): void {
         record.readerCount -= 1;
         if (record.readerCount === 0 && record.getEnd() === undefined) {
@@ -107,9 +107,9 @@
         }
     }
 
-    /** Returns whether this node owns stored generations now. */
+    /** Returns whether this node runs stored generations now. */
     hasDrafts(): boolean {
-        return this.draftIds.size > 0;
+        return this.ownedDraftIds.size > 0;
     }
 
     stop(): void {
@@ -117,21 +117,21 @@
     }
 
     private runDraft(request: ModelRequest, service: ServiceDeclaration, span: Span, tokens: readonly string[]): RequestRecord {
-        this.draftIds.add(request.id);
+        this.ownedDraftIds.add(request.id);
         const record = this.startRequest(request, service, span, tokens);
         void this.storeDraftEnd(record);
         return record;
     }
 
     private async storeDraftEnd(record: RequestRecord): Promise<void> {
-        const unsignalled = new AbortController().signal;
+        const neverAborted = new AbortController().signal;
         while (record.getEnd() === undefined) {
-            await record.waitForChange(record.tokens.length, unsignalled);
+            await record.waitForChange(record.tokens.length, neverAborted);
         }
         if (record.getEnd()?.outcome !== RequestOutcome.HandedOver) {
-            await this.parts.drafts.storeEnd(record, this.parts.owner, this.stopping.signal);
+            await this.dependencies.drafts.storeEnd(record, this.dependencies.owner, this.stopping.signal);
         }
-        this.draftIds.delete(record.request.id);
+        this.ownedDraftIds.delete(record.request.id);
     }
 
     private scheduleCancel(record: RequestRecord): void {
@@ -146,9 +146,9 @@
     }
 
     private async runRecord(record: RequestRecord, service: ServiceDeclaration): Promise<void> {
-        const { metrics, table, tracing } = this.parts;
+        const { metrics, table, tracing } = this.dependencies;
         try {
-            await this.parts.runner.runRequest(record, service);
+            await this.dependencies.runner.runRequest(record, service);
         }
         catch (error) {
             record.finishWithFailure(
--- a/src/requests/requestTable.ts
+++ b/src/requests/requestTable.ts
@@ -1,11 +1,11 @@
 import { Clock } from "../common/clock.js";
 import { RequestExplanation, RequestRecord } from "./requestRecord.js";
 
-/** Milliseconds for which the answer of an ended request can still be read again. */
-const answerRetentionMilliseconds = 30_000;
-/** Explanations of ended requests that a node remembers. */
+/** Time for which the response of an ended request can still be read. */
+const endedRecordRetentionMilliseconds = 30_000;
+/** Maximum number of explanations of ended requests that a node keeps. */
 const explanationLimit = 2_000;
-/** Ended records that a node keeps for re-attaching callers. */
+/** Maximum number of ended records that a node keeps for callers that attach again. */
 const endedRecordLimit = 1_000;
 
 interface EndedRecord {
@@ -13,7 +13,7 @@
     readonly expiresAt: number;
 }
 
-/** The requests that a node runs, and what it remembers of those that ended. */
+/** Holds the requests that a node runs, and the records and explanations of recently ended ones. */
 export class RequestTable {
     private readonly active = new Map<string, RequestRecord>();
     private readonly ended = new Map<string, EndedRecord>();
@@ -29,15 +29,15 @@
         this.active.set(record.request.id, record);
     }
 
-    /** Moves an ended record out of the active ones. */
+    /** Moves an ended record from the active to the ended records. */
     finishRecord(record: RequestRecord): void {
         this.active.delete(record.request.id);
         this.addExplanation(record.createExplanation());
-        this.ended.set(record.request.id, { record, expiresAt: this.clock.getMonotonicTime() + answerRetentionMilliseconds });
+        this.ended.set(record.request.id, { record, expiresAt: this.clock.getMonotonicTime() + endedRecordRetentionMilliseconds });
         this.removeExpired();
     }
 
-    /** Remembers what happened to a request. */
+    /** Keeps the explanation of an ended request; evicts the oldest one above the limit. */
     addExplanation(explanation: RequestExplanation): void {
         this.explanations.delete(explanation.id);
         this.explanations.set(explanation.id, explanation);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Returns a record that runs or ended a short while ago. */
+    /** Returns the record of a running or recently ended request, or undefined. */
     findRecord(id: string): RequestRecord | undefined {
         const active = this.active.get(id);
         if (active !== undefined) {
@@ -59,7 +59,7 @@
         return ended.record;
     }
 
-    /** Returns what is known of a request. */
+    /** Returns the explanation of a running or ended request, or undefined if there is none. */
     findExplanation(id: string): RequestExplanation | undefined {
         return this.active.get(id)?.createExplanation() ?? this.explanations.get(id);
     }
--- a/src/requests/retryBudget.ts
+++ b/src/requests/retryBudget.ts
@@ -1,13 +1,13 @@
-/** Retries that one request earns. */
-const budgetPerRequest = 0.1;
-/** Most retries that can be saved up. */
-const budgetLimit = 50;
-/** Retries available before any request was accepted. */
-const initialBudget = 5;
+/** Retries added to the budget by each request. */
+const retriesPerRequest = 0.1;
+/** Maximum number of retries in the budget. */
+const maximumRetries = 50;
+/** Retries in the budget at the start. */
+const initialRetries = 5;
 
-/** Allows retries as a share of the accepted requests, so that retries never multiply an overload. */
+/** Limits retries to a share of the accepted requests, so that retries do not multiply an overload. */
 export class RetryBudget {
-    private available = initialBudget;
+    private availableRetries = initialRetries;
 
     private constructor() {}
 
@@ -15,17 +15,17 @@
         return new RetryBudget();
     }
 
-    /** Adds what one accepted request earns. */
+    /** Adds the retries of one accepted request. */
     recordRequest(): void {
-        this.available = Math.min(budgetLimit, this.available + budgetPerRequest);
+        this.availableRetries = Math.min(maximumRetries, this.availableRetries + retriesPerRequest);
     }
 
-    /** Takes one retry; returns false when none is left. */
+    /** Takes one retry from the budget; returns false if none is left. */
     takeRetry(): boolean {
-        if (this.available < 1) {
+        if (this.availableRetries < 1) {
             return false;
         }
-        this.available -= 1;
+        this.availableRetries -= 1;
         return true;
     }
 }
--- a/src/requests/suspectLanes.ts
+++ b/src/requests/suspectLanes.ts
@@ -1,6 +1,6 @@
-/** Lets one request under suspicion at a time run at each endpoint, so that a second death has one suspect. */
+/** Holds a lock per endpoint, so that only one suspect request at a time runs there and a second crash has one suspect. */
 export class SuspectLanes {
-    private readonly tails = new Map<string, Promise<void>>();
+    private readonly lastReleaseByEndpoint = new Map<string, Promise<void>>();
 
     private constructor() {}
 
@@ -8,20 +8,20 @@
         return new SuspectLanes();
     }
 
-    /** Waits for the lane of an endpoint; the function returned gives it back. */
-    async acquireLane(endpoint: string): Promise<() => void> {
-        const previous = this.tails.get(endpoint) ?? Promise.resolve();
+    /** Waits for the lock of an endpoint, first come first served; returns the function that releases it. */
+    async acquireLock(endpoint: string): Promise<() => void> {
+        const previous = this.lastReleaseByEndpoint.get(endpoint) ?? Promise.resolve();
         let release: () => void = () => {};
         const current = new Promise<void>(resolve => {
             release = resolve;
         });
         const tail = previous.then(() => current);
-        this.tails.set(endpoint, tail);
+        this.lastReleaseByEndpoint.set(endpoint, tail);
         await previous;
         return () => {
             release();
-            if (this.tails.get(endpoint) === tail) {
-                this.tails.delete(endpoint);
+            if (this.lastReleaseByEndpoint.get(endpoint) === tail) {
+                this.lastReleaseByEndpoint.delete(endpoint);
             }
         };
     }
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -3,22 +3,23 @@
 import { ServiceDeclaration } from "../config/types.js";
 import { GenerationEnd } from "../endpoints/types.js";
 
-/** How one attempt ended. */
+/** State of an attempt: running, or how it ended. */
 export enum AttemptOutcome {
     Running = "running",
     Finished = "finished",
     Failed = "failed",
-    /** Moved to another endpoint before its own left. */
+    /** Stopped because the endpoint was leaving; the request continues at another endpoint. */
     Moved = "moved",
     Cancelled = "cancelled",
 }
 
-/** One attempt at a request, as operators see it. Times are Unix milliseconds. */
+/** One attempt of a request, as reported to operators. Times are Unix milliseconds. */
 export interface AttemptRecord {
     readonly attemptId: string;
     readonly endpoint: string;
     readonly version: string;
     readonly startedAt: number;
+    /** Tokens that the response had when the attempt started. */
     readonly startOffset: number;
     endedAt: number | undefined;
     outcome: AttemptOutcome;
@@ -26,7 +27,7 @@
     text: string;
 }
 
-/** How a request ended. */
+/** State of a request: running, or how it ended. */
 export enum RequestOutcome {
     Running = "running",
     Finished = "finished",
@@ -36,14 +37,14 @@
     HandedOver = "handed-over",
 }
 
-/** The end of a generation or the failure that ended it. */
+/** End of a generation: its result, the failure that ended it, or neither if it was cancelled or handed over. */
 export interface RequestEnd {
     readonly outcome: RequestOutcome;
     readonly generation: GenerationEnd | undefined;
     readonly failure: Failure | undefined;
 }
 
-/** A generation that a caller asked for. Times are Unix milliseconds. */
+/** A generation request of a caller. Times are Unix milliseconds. */
 export interface ModelRequest {
     readonly id: string;
     readonly team: string;
@@ -59,7 +60,7 @@
     readonly sampling: Readonly<Record<string, unknown>>;
 }
 
-/** A call to a plain service that a caller asked for. Times are Unix milliseconds. */
+/** A caller's call to a plain service. Times are Unix milliseconds. */
 export interface PlainRequest {
     readonly id: string;
     readonly team: string;
@@ -80,24 +81,24 @@
     selectVersion(service: ServiceDeclaration, requestId: string): string;
 }
 
-/** What one attempt showed of a version. Times are in milliseconds. */
+/** Result and timing of one attempt, as evidence about a version. Times are in milliseconds. */
 export interface VersionObservation {
     readonly service: string;
     readonly version: string;
     readonly team: string;
-    /** Which of the service's interfaces was used. */
+    /** Interface of the service that was called, such as "chat" or the first segment of the path. */
     readonly route: string;
     readonly endpoint: string;
     readonly succeeded: boolean;
-    /** Whether the answer held as many tokens as were asked for or ended by the engine's own stop. */
+    /** Whether the response has the maximum number of tokens; always true for a plain call. */
     readonly isComplete: boolean;
     readonly firstToken: number | undefined;
     readonly betweenTokens: number | undefined;
-    /** Share of the endpoint's capacity in use when the attempt began. */
+    /** Share of the endpoint's capacity in use when the attempt started. */
     readonly load: number;
 }
 
-/** Receives what attempts show of versions. */
+/** Receives observations of attempts for the evaluation of versions. */
 export interface VersionObserver {
     recordObservation(observation: VersionObservation): void;
 }
