--- a/src/requests/commands/shadowRunner.ts
+++ b/src/requests/commands/shadowRunner.ts
@@ -93,7 +93,7 @@
 
     private async runAttempt(request: ModelRequest, service: ServiceDeclaration, version: string, entry: EndpointEntry): Promise<void> {
         const startedAt = this.clock.getMonotonicTime();
-        const loadShareAtStart = this.registry.getLoadShare(entry);
+        const load = this.registry.getLoadShare(entry);
         let tokens = 0;
         let firstTokenAt: number | undefined;
         let lastTokenAt = startedAt;
@@ -134,7 +134,7 @@
             isComplete: tokens >= request.maxTokens,
             firstToken: firstTokenAt === undefined ? undefined : firstTokenAt - startedAt,
             betweenTokens: tokens < 2 || firstTokenAt === undefined ? undefined : (lastTokenAt - firstTokenAt) / (tokens - 1),
-            load: loadShareAtStart,
+            load,
         });
     }
 }
