--- a/src/control/commands/configurationConsumer.ts
+++ b/src/control/commands/configurationConsumer.ts
@@ -5,12 +5,12 @@
 import { StoredObject } from "../../provider/types.js";
 import { SharedObjectConsumer } from "../sharedObjects.js";
 
-/** Learns of a configuration that came into force. */
+/** Is notified when a new configuration of a team has been applied. */
 export interface ConfigurationListener {
     handleConfiguration(team: string, revision: number): void;
 }
 
-/** Puts the teams' configuration objects in force. */
+/** Applies the teams' configuration objects to the node's configuration set and notifies its listeners. */
 export class ConfigurationConsumer implements SharedObjectConsumer {
     readonly prefix = configurationPrefix;
     private readonly listeners = new Set<ConfigurationListener>();
--- a/src/control/commands/domainDuty.ts
+++ b/src/control/commands/domainDuty.ts
@@ -14,17 +14,17 @@
 import { LeaseKeeper } from "./leaseKeeper.js";
 import { OrderSender } from "./orderSender.js";
 
-const roundMilliseconds = 1_000;
-/** Rounds between two removals of old claims. */
-const claimRounds = 60;
-/** Claims removed in one round; bounds the writes. */
-const claimLimit = 100;
-/** Endpoints of the domain that may load weights at once when the weight store says nothing. */
+const roundIntervalMilliseconds = 1_000;
+/** Rounds between two removals of expired claims. */
+const roundsPerClaimCleanup = 60;
+/** Upper limit of removals in one round; bounds the writes to the store. */
+const claimRemovalsPerRound = 100;
+/** Models that the domain's endpoints may load in parallel when there is no weight store or it gives no limit. */
 const defaultParallelLoads = 2;
-const readTimeLimitMilliseconds = 500;
+const modelReadTimeoutMilliseconds = 500;
 
-/** The parts of a node that the domain's duties need. */
-export interface DomainDutyParts {
+/** Dependencies of the domain duty. */
+export interface DomainDutyDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly lease: LeaseKeeper;
@@ -40,27 +40,30 @@
     readonly service: RequestService;
 }
 
-/** What the holder of a failure domain's lease does: orders to endpoints, orphaned drafts, old claims. */
+/**
+ * The periodic work of the holder of a failure domain's lease: orders the engines' models, adopts drafts without a running owner
+ * and removes expired claims.
+ */
 export class DomainDuty {
     private readonly stopping = new AbortController();
     private round = 0;
 
-    private constructor(private readonly parts: DomainDutyParts) {}
+    private constructor(private readonly dependencies: DomainDutyDependencies) {}
 
-    static create(parts: DomainDutyParts): DomainDuty {
-        return new DomainDuty(parts);
+    static create(dependencies: DomainDutyDependencies): DomainDuty {
+        return new DomainDuty(dependencies);
     }
 
     /** Runs until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            if (this.parts.lease.getGrant() !== undefined) {
+            if (this.dependencies.lease.getGrant() !== undefined) {
                 this.round += 1;
                 await this.applyPlacement();
                 await this.adoptOrphans();
-                await this.removeOldClaims();
+                await this.removeExpiredClaims();
             }
-            await this.parts.clock.sleep(roundMilliseconds, this.stopping.signal);
+            await this.dependencies.clock.sleep(roundIntervalMilliseconds, this.stopping.signal);
         }
     }
 
@@ -68,27 +71,27 @@
         this.stopping.abort();
     }
 
-    /** Brings the models of the domain's engines to what the configuration and the moves ask for, a few at a time. */
+    /** Orders the domain's engines to serve the models that the configuration and the moves require, within the limit of parallel loads. */
     async applyPlacement(): Promise<void> {
-        const { registry, directory, configuration, moves } = this.parts;
+        const { registry, directory, configuration, moves } = this.dependencies;
         const engines = registry.listEntries().filter(entry => {
-            const isOwn = entry.description.failureDomain === directory.identity.failureDomain;
-            return isOwn && registry.isEligible(entry) && (entry.load?.models.length ?? 0) > 0;
+            const isInDomain = entry.description.failureDomain === directory.identity.failureDomain;
+            return isInDomain && registry.isEligible(entry) && (entry.load?.models.length ?? 0) > 0;
         });
         let loads = await this.getParallelLoads();
         for (const engine of engines) {
             const desired = listDesiredModels(configuration, moves.listRecords(), engine.description.group);
-            if (desired.length === 0 || !this.parts.orders.isSendAllowed(engine.description.group)) {
+            if (desired.length === 0 || !this.dependencies.orders.isSendAllowed(engine.description.group)) {
                 continue;
             }
             loads -= await this.applyPlacementAt(engine, desired, loads);
         }
     }
 
-    /** Returns how many loads the engine is busy with or was ordered to begin. */
-    private async applyPlacementAt(engine: EndpointEntry, desired: readonly string[], loadsLeft: number): Promise<number> {
-        const { client, orders, logger } = this.parts;
-        const found = await client.fetchModels(engine.description.address, readTimeLimitMilliseconds);
+    /** Returns the number of loads that the engine is running or was ordered to start. */
+    private async applyPlacementAt(engine: EndpointEntry, desired: readonly string[], availableLoads: number): Promise<number> {
+        const { client, orders, logger } = this.dependencies;
+        const found = await client.fetchModels(engine.description.address, modelReadTimeoutMilliseconds);
         if (found.err) {
             return 0;
         }
@@ -98,8 +101,8 @@
         if (missing.length === 0 && surplus.length === 0) {
             return found.val.loading.length;
         }
-        // Without a load left, the engine keeps what it has until its turn comes.
-        if (missing.length > loadsLeft) {
+        // Over the limit of parallel loads, the engine keeps its models until a later round.
+        if (missing.length > availableLoads) {
             return found.val.loading.length;
         }
         const ordered = await orders.sendModels(engine.description, desired);
@@ -108,45 +111,45 @@
     }
 
     private async getParallelLoads(): Promise<number> {
-        const rate = await this.parts.weightStore?.fetchParallelLoads();
-        return rate !== undefined && rate.ok ? rate.val : defaultParallelLoads;
+        const limit = await this.dependencies.weightStore?.fetchParallelLoads();
+        return limit !== undefined && limit.ok ? limit.val : defaultParallelLoads;
     }
 
-    /** Takes over stored requests whose owner is gone. */
+    /** Adopts stored drafts whose owner has stopped, restarted or become unreachable. */
     private async adoptOrphans(): Promise<void> {
-        const pending = await this.parts.drafts.listPending();
+        const pending = await this.dependencies.drafts.listPending();
         if (pending.err) {
             return;
         }
         for (const draft of pending.val) {
-            if (!this.isOwnerAlive(draft)) {
-                await this.parts.service.adoptDraft(draft);
+            if (!this.isOwnerRunning(draft)) {
+                await this.dependencies.service.adoptDraft(draft);
             }
         }
     }
 
-    private isOwnerAlive(draft: Draft): boolean {
-        const { identity } = this.parts.directory;
+    private isOwnerRunning(draft: Draft): boolean {
+        const { identity } = this.dependencies.directory;
         if (draft.owner === identity.name) {
             return draft.incarnation === identity.incarnation;
         }
-        const member = this.parts.directory.findMember(draft.owner);
-        return member !== undefined && this.parts.directory.isAlive(member) && member.incarnation === draft.incarnation;
+        const member = this.dependencies.directory.findMember(draft.owner);
+        return member !== undefined && this.dependencies.directory.isAlive(member) && member.incarnation === draft.incarnation;
     }
 
-    /** Removes claims whose retention is over. Keys that show an older time are refused, so none can run again. */
-    private async removeOldClaims(): Promise<void> {
-        if (this.round % claimRounds !== 0) {
+    /** Removes expired claims. Keys with a time older than the retention are refused, so a removed key can't run again. */
+    private async removeExpiredClaims(): Promise<void> {
+        if (this.round % roundsPerClaimCleanup !== 0) {
             return;
         }
-        const listed = await this.parts.store.listObjects("claims/");
+        const listed = await this.dependencies.store.listObjects("claims/");
         if (listed.err) {
             return;
         }
-        const now = this.parts.clock.getWallTime();
-        const old = listed.val.objects.filter(object => (readClaimExpiry(object) ?? Infinity) < now);
-        for (const object of old.slice(0, claimLimit)) {
-            await this.parts.store.removeObject(object.name, object.revision);
+        const now = this.dependencies.clock.getWallTime();
+        const expired = listed.val.objects.filter(object => (readClaimExpiry(object) ?? Infinity) < now);
+        for (const object of expired.slice(0, claimRemovalsPerRound)) {
+            await this.dependencies.store.removeObject(object.name, object.revision);
         }
     }
 }
--- a/src/control/commands/hostListKeeper.ts
+++ b/src/control/commands/hostListKeeper.ts
@@ -12,11 +12,11 @@
 
 const hostsSchema = z.array(hostSchema);
 
-/** Keeps the node's endpoints and peers in step with the platform's host list and the cloud's notices. */
+/** Keeps the node's endpoints and peers up to date with the platform's host list and the cloud's reclaim notices. */
 export class HostListKeeper {
     private readonly stopping = new AbortController();
     private hosts: ListedHost[] | undefined;
-    private hasOwnList = false;
+    private hasPlatformList = false;
 
     private constructor(
         private readonly hostList: HostList,
@@ -61,19 +61,19 @@
         return this.hosts !== undefined;
     }
 
-    /** Returns the hosts known now, as JSON for a peer that cannot reach the platform. */
+    /** Returns the current host list as JSON for a peer that cannot reach the platform; empty while there is none. */
     exportHosts(): string {
         return this.hosts === undefined ? "" : JSON.stringify(this.hosts);
     }
 
-    /** Takes over a peer's host list; used only until the platform has answered once. */
+    /** Applies a peer's host list; ignored once the platform has returned its own list. */
     importHosts(hostsJson: string): void {
-        if (this.hasOwnList || hostsJson === "") {
+        if (this.hasPlatformList || hostsJson === "") {
             return;
         }
         const parsed = hostsSchema.safeParse(JSON.parse(hostsJson));
         if (parsed.success) {
-            this.logger.info("host list taken from a peer", { hosts: parsed.data.length });
+            this.logger.info("applied the host list of a peer", { hosts: parsed.data.length });
             this.applyHosts(parsed.data);
         }
     }
@@ -83,7 +83,7 @@
         if (listed.err) {
             return;
         }
-        this.hasOwnList = true;
+        this.hasPlatformList = true;
         this.applyHosts(listed.val);
     }
 
@@ -115,10 +115,10 @@
                 directory.addMember({ name: host.name, failureDomain: host.failure_domain, region: host.region, address });
             }
         }
-        const named = new Set([...this.settingsPeers.map(peer => peer.name), ...entryHosts.map(host => host.name)]);
+        const listedNames = new Set([...this.settingsPeers.map(peer => peer.name), ...entryHosts.map(host => host.name)]);
         for (const member of directory.listMembers()) {
-            // The list lags: a node that still answers stays a member.
-            if (!named.has(member.name) && !directory.isAlive(member)) {
+            // The host list lags behind: a node that is still reachable stays a member.
+            if (!listedNames.has(member.name) && !directory.isAlive(member)) {
                 directory.removeMember(member.name);
             }
         }
--- a/src/control/commands/leaseKeeper.ts
+++ b/src/control/commands/leaseKeeper.ts
@@ -3,63 +3,69 @@
 import { ObjectStore, writeObject } from "../../provider/objectStore.js";
 import { StoredObject, WriteOutcome } from "../../provider/types.js";
 
-/** Renewals in one term. */
+/** Renewals that the holder attempts in one term. */
 const renewalsPerTerm = 3;
-/** Looks of a candidate in one term. */
-const candidateLooksPerTerm = 1.5;
-/** Share of the term by which clocks may run apart; a holder gives up that much earlier, a candidate waits that much longer. */
-const driftShare = 0.1;
+/** Polls of the lease that a candidate makes in one term. */
+const candidatePollsPerTerm = 1.5;
+/**
+ * Clock drift between nodes that is tolerated, as a fraction of the term: a holder stops that much before the end of the term,
+ * a candidate waits that much longer.
+ */
+const clockDriftFraction = 0.1;
 
 const leaseSchema = z.object({
     holder: z.string(),
     incarnation: z.number(),
-    /** Rises by one with every change of the holder; the fencing number of orders. */
+    /** Increases by one with each acquisition; serves as the fencing number of orders. */
     transitions: z.number().int(),
     renewals: z.number().int(),
 });
 type StoredLease = z.infer<typeof leaseSchema>;
 
-/** When a round began, by both clocks. */
+/** Start of a round, in milliseconds of the monotonic and of the wall clock. */
 interface StartTime {
     readonly monotonic: number;
     readonly wall: number;
 }
 
-/** Who wants a lease. */
+/** The node that competes for a lease. A restarted node is another candidate, since its incarnation differs. */
 export interface LeaseCandidate {
     readonly name: string;
     readonly incarnation: number;
 }
 
-/** The right to act, for as long as it lasts. */
+/** A lease that is held now: its fencing number and validity. */
 export interface LeaseGrant {
     readonly fencing: number;
-    /** Milliseconds for which the lease is certain to be held. */
+    /** Milliseconds for which the lease is still guaranteed to be held. */
     readonly remaining: number;
-    /** Milliseconds since this holder took the lease over. */
+    /** Milliseconds since this holder acquired the lease. */
     readonly heldFor: number;
 }
 
-/** Hears of a lease that was taken, for logs and metrics. */
+/** Is notified when this node has acquired a lease; writes logs and metrics. */
 export interface LeaseObserver {
     recordTaken(lease: string, fencing: number): void;
 }
 
-/** Knows from elsewhere whether the present holder lives; a candidate then need not look at the store. */
+/** Returns whether the current holder is reachable by other means, such as gossip; a candidate then need not poll the store. */
 export interface HolderWatch {
     isHolderHeard(): boolean;
 }
 
-/** Takes and renews one lease, a platform object, by conditional updates. Judges time by the monotonic clock alone. */
+/**
+ * Acquires and renews one lease, an object in the platform's store, by conditional updates. A candidate acquires a held lease only
+ * after its revision has not changed for a term on the candidate's own monotonic clock, so clocks of nodes are never compared.
+ */
 export class LeaseKeeper {
     private readonly stopping = new AbortController();
-    private validUntil = -Infinity;
-    /** Unix milliseconds; the monotonic clock stands still while a host is suspended, this one does not. */
+    private validUntilMonotonicTime = -Infinity;
+    /** Unix milliseconds; the wall clock advances while the host is suspended, the monotonic clock does not. */
     private validUntilWallTime = -Infinity;
     private acquiredAt = 0;
     private transitions = 0;
     private observedRevision = -1;
-    private observedAt = 0;
+    private revisionObservedAt = 0;
 
     private constructor(
         private readonly store: ObjectStore,
@@ -90,9 +96,9 @@
             if (this.getGrant() !== undefined || this.holderWatch?.isHolderHeard() !== true) {
                 await this.runRound();
             }
-            // Who does not hold the lease looks less often: a candidate has to wait out the term anyway.
-            const looksPerTerm = this.getGrant() === undefined ? candidateLooksPerTerm : renewalsPerTerm;
-            await this.clock.sleep(this.term / looksPerTerm, this.stopping.signal);
+            // A candidate polls less often than a holder renews: it must wait for the end of the term anyway.
+            const pollsPerTerm = this.getGrant() === undefined ? candidatePollsPerTerm : renewalsPerTerm;
+            await this.clock.sleep(this.term / pollsPerTerm, this.stopping.signal);
         }
     }
 
@@ -100,41 +106,41 @@
         this.stopping.abort();
     }
 
-    /** Returns the grant as of this moment, or undefined when the lease is not certain to be held. */
+    /** Returns the grant as of now, or undefined when the lease is not guaranteed to be held. */
     getGrant(): LeaseGrant | undefined {
         const now = this.clock.getMonotonicTime();
-        const remaining = Math.min(this.validUntil - now, this.validUntilWallTime - this.clock.getWallTime());
+        const remaining = Math.min(this.validUntilMonotonicTime - now, this.validUntilWallTime - this.clock.getWallTime());
         if (remaining <= 0) {
             return undefined;
         }
         return { fencing: this.transitions, remaining, heldFor: now - this.acquiredAt };
     }
 
-    /** Gives the lease up, so that another node can take it without waiting. */
+    /** Stops renewing and clears the holder in the store, so that another node can acquire the lease without waiting. */
     async release(): Promise<void> {
         this.stop();
         if (this.getGrant() === undefined) {
             return;
         }
-        this.validUntil = -Infinity;
+        this.validUntilMonotonicTime = -Infinity;
         const found = await this.store.getObject(this.name);
         const lease = found.ok && found.val !== undefined ? parseLease(found.val) : undefined;
-        if (found.ok && found.val !== undefined && lease !== undefined && this.isOwn(lease)) {
+        if (found.ok && found.val !== undefined && lease !== undefined && this.isHeldByCandidate(lease)) {
             await this.store.replaceObject(this.name, { ...lease, holder: "" }, found.val.revision);
         }
     }
 
-    /** Longest time, in milliseconds, for which an earlier holder may still believe in its lease after a change. */
+    /** Returns the longest time, in milliseconds, for which the previous holder may still consider its lease valid after a change. */
     getSuccessorWait(): number {
-        return this.term * (1 + driftShare);
+        return this.term * (1 + clockDriftFraction);
     }
 
-    /** Gives up acting: another holder was seen. The lease is taken anew only when it is free. */
+    /** Drops the grant because another holder was observed. The lease is acquired again only when it is free. */
     recordLoss(): void {
-        this.validUntil = -Infinity;
+        this.validUntilMonotonicTime = -Infinity;
     }
 
-    /** Looks at the lease once, and takes or renews it when that is due. */
+    /** Reads the lease once; renews it if this node holds it, acquires it if it is free or expired. */
     async runRound(): Promise<void> {
         const startedAt: StartTime = { monotonic: this.clock.getMonotonicTime(), wall: this.clock.getWallTime() };
         const found = await this.store.getObject(this.name);
@@ -146,27 +152,28 @@
             return;
         }
         const lease = parseLease(found.val);
-        if (lease !== undefined && this.isOwn(lease) && this.getGrant() !== undefined) {
+        if (lease !== undefined && this.isHeldByCandidate(lease) && this.getGrant() !== undefined) {
             await this.writeLease(found.val, lease.transitions, lease.renewals + 1, startedAt);
             return;
         }
         this.observeRevision(found.val.revision);
-        const silence = this.clock.getMonotonicTime() - this.observedAt;
-        const isFree = lease === undefined || lease.holder === "" || this.isOwn(lease) || silence > this.term * (1 + driftShare);
+        const sinceLastRenewal = this.clock.getMonotonicTime() - this.revisionObservedAt;
+        const isFree = lease === undefined || lease.holder === "" || this.isHeldByCandidate(lease)
+            || sinceLastRenewal > this.term * (1 + clockDriftFraction);
         if (isFree) {
             await this.writeLease(found.val, (lease?.transitions ?? 0) + 1, 0, startedAt);
         }
     }
 
-    private isOwn(lease: StoredLease): boolean {
+    private isHeldByCandidate(lease: StoredLease): boolean {
         return lease.holder === this.candidate.name && lease.incarnation === this.candidate.incarnation;
     }
 
     private observeRevision(revision: number): void {
-        // A stale read shows a lower revision; only a higher one is news.
+        // A stale read returns a lower revision; only a higher one counts as a renewal.
         if (revision > this.observedRevision) {
             this.observedRevision = revision;
-            this.observedAt = this.clock.getMonotonicTime();
+            this.revisionObservedAt = this.clock.getMonotonicTime();
         }
     }
 
@@ -183,18 +190,18 @@
             return;
         }
         if (written.val.outcome === WriteOutcome.Unknown) {
-            await this.settleLostAnswer(value, startedAt);
+            await this.resolveUnknownOutcome(value, startedAt);
         }
     }
 
-    /** Reads back after a lost answer: the write took effect if the object shows exactly what was written. */
-    private async settleLostAnswer(value: StoredLease, startedAt: StartTime): Promise<void> {
+    /** Reads the lease after a write with unknown outcome: the write took effect if the object holds exactly the written value. */
+    private async resolveUnknownOutcome(value: StoredLease, startedAt: StartTime): Promise<void> {
         const found = await this.store.getObject(this.name);
         if (found.err || found.val === undefined) {
             return;
         }
         const lease = parseLease(found.val);
-        const isWritten = lease !== undefined && this.isOwn(lease) && lease.transitions === value.transitions
+        const isWritten = lease !== undefined && this.isHeldByCandidate(lease) && lease.transitions === value.transitions
             && lease.renewals === value.renewals;
         if (isWritten) {
             this.applyGrant(value, startedAt);
@@ -203,13 +210,13 @@
 
     private applyGrant(lease: StoredLease, startedAt: StartTime): void {
         const now = this.clock.getMonotonicTime();
-        const isNew = lease.transitions !== this.transitions || this.validUntil <= now;
+        const isAcquisition = lease.transitions !== this.transitions || this.validUntilMonotonicTime <= now;
         this.transitions = lease.transitions;
-        // Counted from before the write was sent: the others count from when they see it.
-        this.validUntil = startedAt.monotonic + this.term * (1 - driftShare);
-        // Also when the host was suspended between the write and its answer.
-        this.validUntilWallTime = startedAt.wall + this.term * (1 - driftShare);
-        if (isNew) {
+        // Counted from before the write was sent, since candidates count from when they read it.
+        this.validUntilMonotonicTime = startedAt.monotonic + this.term * (1 - clockDriftFraction);
+        // The wall clock also covers a suspension of the host between the write and its response.
+        this.validUntilWallTime = startedAt.wall + this.term * (1 - clockDriftFraction);
+        if (isAcquisition) {
             this.acquiredAt = now;
             this.observer.recordTaken(this.name, this.transitions);
         }
--- a/src/control/commands/orderSender.ts
+++ b/src/control/commands/orderSender.ts
@@ -7,10 +7,10 @@
 import { EndpointDescription } from "../../endpoints/types.js";
 import { LeaseKeeper } from "./leaseKeeper.js";
 
-/** Time limit of one order, in milliseconds. */
+/** Time limit of one order, and of reading back its result. */
 export const orderTimeLimitMilliseconds = 500;
 
-/** Sends orders to endpoints under a lease, so that two holders never both have one accepted. */
+/** Sends orders to endpoints under a lease and its fencing number, so that orders of two holders are never both in effect. */
 export class OrderSender {
     private constructor(
         private readonly client: ModelEndpointClient,
@@ -28,20 +28,23 @@
         return new OrderSender(client, lease, clock, checksFencing);
     }
 
-    /** Says whether an order to a group may be sent now. */
+    /** Returns whether an order to an endpoint of a group may be sent now. */
     isSendAllowed(group: string): boolean {
         const grant = this.lease.getGrant();
         if (grant === undefined || grant.remaining <= orderTimeLimitMilliseconds) {
             return false;
         }
-        // Endpoints that ignore old fencing numbers: whatever an earlier holder sent must have arrived or be lost by now.
+        // Endpoints that don't check fencing numbers accept late orders: wait until every order of the previous holder has timed out.
         return this.checksFencing(group) || grant.heldFor > this.lease.getSuccessorWait() + orderTimeLimitMilliseconds;
     }
 
-    /** Orders an endpoint to serve exactly a set of models, and reads back what it accepted. */
+    /**
+     * Orders an endpoint to serve exactly the given models and reads back the accepted fencing number. Fails when the lease is not held
+     * or the endpoint has accepted an order with a higher number.
+     */
     async sendModels(endpoint: EndpointDescription, models: readonly string[]): Promise<Result<void, Failure>> {
         const grant = this.lease.getGrant();
-        // The check stands right before the order: a holder that was paused must not send on an old lease.
+        // Checked right before sending: a process that was paused must not send under an expired lease.
         if (grant === undefined || !this.isSendAllowed(endpoint.group)) {
             return Err(Failure.create(Verdict.NotRun, Diagnostics.Lease_0_is_not_held, this.lease.name));
         }
--- a/src/control/commands/quarantineKeeper.ts
+++ b/src/control/commands/quarantineKeeper.ts
@@ -7,13 +7,13 @@
 import { SharedObjectConsumer } from "../sharedObjects.js";
 
 const checkIntervalMilliseconds = 100;
-const storedSchema = z.object({ endpoints: z.array(z.string()), until: z.number() });
+const quarantineSchema = z.object({ endpoints: z.array(z.string()), until: z.number() });
 
-/** Shares quarantines through the platform, for failure domains that cannot reach one another. */
+/** Replicates quarantines through the platform's store, for failure domains whose nodes cannot reach each other. */
 export class QuarantineKeeper implements SharedObjectConsumer {
     readonly prefix = quarantinePrefix;
     private readonly stopping = new AbortController();
-    private readonly stored = new Map<string, number>();
+    private readonly storedEndpointCounts = new Map<string, number>();
 
     private constructor(private readonly store: ObjectStore, private readonly ledger: QuarantineLedger, private readonly clock: Clock) {}
 
@@ -22,17 +22,17 @@
     }
 
     applyObject(object: StoredObject): boolean {
-        const parsed = storedSchema.safeParse(object.value);
+        const parsed = quarantineSchema.safeParse(object.value);
         if (!parsed.success) {
             return false;
         }
         const fingerprint = object.name.slice(this.prefix.length);
-        this.stored.set(fingerprint, parsed.data.endpoints.length);
+        this.storedEndpointCounts.set(fingerprint, parsed.data.endpoints.length);
         this.ledger.mergeRecord({ fingerprint, ...parsed.data });
         return true;
     }
 
-    /** Writes new quarantines to the platform until stop is called. */
+    /** Writes new local quarantines to the store until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
             await this.storeQuarantines();
@@ -46,13 +46,13 @@
 
     private async storeQuarantines(): Promise<void> {
         for (const record of this.ledger.listRecords()) {
-            const isKnown = (this.stored.get(record.fingerprint) ?? 0) > 0;
-            if (isKnown || !this.ledger.isQuarantined(record.fingerprint)) {
+            const isStored = (this.storedEndpointCounts.get(record.fingerprint) ?? 0) > 0;
+            if (isStored || !this.ledger.isQuarantined(record.fingerprint)) {
                 continue;
             }
-            // Whoever is first writes it; a conflict means that it stands there already.
+            // A conflict means that another node has already written this quarantine.
             await this.store.createObject(quarantinePrefix + record.fingerprint, { endpoints: record.endpoints, until: record.until });
-            this.stored.set(record.fingerprint, record.endpoints.length);
+            this.storedEndpointCounts.set(record.fingerprint, record.endpoints.length);
         }
     }
 }
--- a/src/control/commands/sharedObjectKeeper.ts
+++ b/src/control/commands/sharedObjectKeeper.ts
@@ -10,19 +10,22 @@
 import { SharedObjectChange, SharedObjects } from "../sharedObjects.js";
 import { HostListKeeper } from "./hostListKeeper.js";
 
-/** Nodes of a failure domain that watch the platform; the others learn from them. */
+/** Nodes of a failure domain that watch the platform; the others fetch changes from them. */
 const watchersPerDomain = 2;
-/** Pause between two tries to watch, and between two looks at whether to watch, in milliseconds. */
+/** Pause before the next watch, or before the next check whether this node is a watcher. */
 const retryPauseMilliseconds = 300;
-/** Pause between two tries to learn the configuration from peers at the start, in milliseconds. */
-const bootPauseMilliseconds = 200;
-/** Time after which a node that learned nothing from a watcher watches for itself, in milliseconds. */
-const lonelyMilliseconds = 3_000;
+/** Pause between two attempts to fetch the shared objects from peers at startup. */
+const bootstrapPauseMilliseconds = 200;
+/** Time after startup from which a node without a working watcher watches the platform itself; also the interval of that check. */
+const watcherFallbackMilliseconds = 3_000;
 
-/** Keeps the node's copies of the shared objects in step: by a watch on the platform, and by what peers have. */
+/**
+ * Replicates the shared objects to this node. A few watchers in each failure domain watch the platform; the other nodes fetch
+ * objects from a peer whose digest differs, so the load on the platform does not grow with the fleet.
+ */
 export class SharedObjectKeeper {
     private readonly stopping = new AbortController();
-    private readonly fetching = new Set<string>();
+    private readonly pendingFetches = new Set<string>();
     private readonly startedAt: number;
     private watchAbort = new AbortController();
     private isWatching = false;
@@ -57,11 +60,11 @@
 
     /** Runs until stop is called. */
     async runWatch(): Promise<void> {
-        void this.runBoot();
-        void this.runWatcherChoice();
+        void this.runBootstrap();
+        void this.runWatcherSelection();
         while (!this.stopping.signal.aborted) {
             if (this.isWatcher()) {
-                await this.watchOnce();
+                await this.listAndWatch();
             }
             await this.clock.sleep(retryPauseMilliseconds, this.stopping.signal);
         }
@@ -72,7 +75,7 @@
         this.watchAbort.abort();
     }
 
-    /** Returns the objects that a peer does not have yet, and the hosts. */
+    /** Returns the objects of which the peer has a lower revision or none, and the host list. */
     createAnswer(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit {
         const knownRevisions = new Map(known.map(entry => [entry.name, Number(entry.revision)]));
         const newer = this.objects.listObjects().filter(object => object.revision > (knownRevisions.get(object.name) ?? 0));
@@ -86,7 +89,7 @@
         };
     }
 
-    /** Fetches from a peer what its digest shows to be different. */
+    /** Fetches the shared objects of a peer when its digest shows a higher revision or another checksum. */
     applyDigest(digest: NodeDigest): void {
         const member = this.directory.findMember(digest.node);
         const isNewer = digest.revisions.some(entry => Number(entry.revision) > this.objects.getRevision(entry.name));
@@ -96,56 +99,56 @@
         }
     }
 
-    /** Says whether this node watches the platform itself. */
+    /** Returns whether this node has to watch the platform itself. */
     isWatcher(): boolean {
         const { identity } = this.directory;
-        const others = this.directory.listLiveDomainMembers();
-        const names = [identity.name, ...others.map(member => member.name)];
+        const peers = this.directory.listLiveDomainMembers();
+        const names = [identity.name, ...peers.map(member => member.name)];
         const chosen = selectByRendezvous("configuration", names, name => name).slice(0, watchersPerDomain);
         if (chosen.includes(identity.name)) {
             return true;
         }
-        // A node whose chosen watchers cannot reach the platform tries for itself.
-        const isServed = others.some(member => chosen.includes(member.name) && member.platformReachable);
-        return !isServed && this.clock.getMonotonicTime() - this.startedAt > lonelyMilliseconds;
+        // When none of the selected watchers reaches the platform, every node watches it itself.
+        const hasServingWatcher = peers.some(member => chosen.includes(member.name) && member.platformReachable);
+        return !hasServingWatcher && this.clock.getMonotonicTime() - this.startedAt > watcherFallbackMilliseconds;
     }
 
-    private async runWatcherChoice(): Promise<void> {
+    private async runWatcherSelection(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            await this.clock.sleep(lonelyMilliseconds, this.stopping.signal);
+            await this.clock.sleep(watcherFallbackMilliseconds, this.stopping.signal);
             if (this.isWatching && !this.isWatcher()) {
                 this.watchAbort.abort();
             }
         }
     }
 
-    /** Asks the peers for the configuration until the node has one from anywhere. */
-    private async runBoot(): Promise<void> {
+    /** Fetches the shared objects and the host list from peers until the node has both, from a peer or the platform. */
+    private async runBootstrap(): Promise<void> {
         while (!this.stopping.signal.aborted && !(this.objects.hasObjects() && this.hosts.hasHosts())) {
             const members = this.directory.listDomainMembers().concat(this.directory.listMembers());
             await Promise.all(members.slice(0, 8).map(member => this.fetchFrom(member)));
-            await this.clock.sleep(bootPauseMilliseconds, this.stopping.signal);
+            await this.clock.sleep(bootstrapPauseMilliseconds, this.stopping.signal);
         }
     }
 
     private async fetchFrom(member: Member): Promise<void> {
-        if (this.fetching.has(member.name)) {
+        if (this.pendingFetches.has(member.name)) {
             return;
         }
-        this.fetching.add(member.name);
+        this.pendingFetches.add(member.name);
         const known = this.objects.listObjects().map(object => ({ name: object.name, revision: BigInt(object.revision) }));
-        const answer = await this.link.fetchSharedObjects(member.address, known);
-        this.fetching.delete(member.name);
-        if (answer.err) {
+        const response = await this.link.fetchSharedObjects(member.address, known);
+        this.pendingFetches.delete(member.name);
+        if (response.err) {
             return;
         }
-        for (const object of answer.val.objects) {
+        for (const object of response.val.objects) {
             this.applyObject({ name: object.name, revision: Number(object.revision), value: JSON.parse(object.valueJson) as unknown });
         }
-        this.hosts.importHosts(answer.val.hostsJson);
+        this.hosts.importHosts(response.val.hostsJson);
     }
 
-    private async watchOnce(): Promise<void> {
+    private async listAndWatch(): Promise<void> {
         const listed = await this.store.listObjects(sharedPrefix);
         if (listed.err) {
             return;
@@ -172,7 +175,7 @@
         if (change !== SharedObjectChange.Applied) {
             return;
         }
-        this.logger.info("shared object in force", { object: object.name, revision: object.revision });
+        this.logger.info("applied a shared object", { object: object.name, revision: object.revision });
         void this.notifier.sendUrgentDigest();
     }
 }
--- a/src/control/moves/clockMonitor.ts
+++ b/src/control/moves/clockMonitor.ts
@@ -1,15 +1,15 @@
 import { Clock } from "../../common/clock.js";
 
-/** Largest difference to the other nodes' clocks at which deadlines can be kept, in milliseconds. */
+/** Largest clock difference to the other nodes at which deadlines can still be met. */
 export const clockDifferenceLimitMilliseconds = 1_000;
-/** Observations that are kept of each node. */
-const windowSize = 8;
-/** Nodes needed before a verdict on the own clock. */
-const leastNodes = 2;
+/** Latest differences that are kept for each node. */
+const differencesPerNode = 8;
+/** Peers that must have been observed before a difference is reported. */
+const minimumPeers = 2;
 
-/** Compares this node's wall clock with those of its peers. */
+/** Estimates how far this node's wall clock differs from its peers' clocks, so that a node with a wrong clock grants no traffic. */
 export class ClockMonitor {
-    private readonly differences = new Map<string, number[]>();
+    private readonly differencesByNode = new Map<string, number[]>();
 
     private constructor(private readonly clock: Clock) {}
 
@@ -17,28 +17,28 @@
         return new ClockMonitor(clock);
     }
 
-    /** Records the time at which a peer sent a message that arrives now, in Unix milliseconds. */
+    /** Records the send time of a message that has just arrived from a peer, in Unix milliseconds of the peer's clock. */
     recordSendTime(node: string, sentAt: number): void {
-        const window = this.differences.get(node) ?? [];
+        const window = this.differencesByNode.get(node) ?? [];
         window.push(this.clock.getWallTime() - sentAt);
-        if (window.length > windowSize) {
+        if (window.length > differencesPerNode) {
             window.shift();
         }
-        this.differences.set(node, window);
+        this.differencesByNode.set(node, window);
     }
 
-    /** Returns the median difference to the peers, in milliseconds; 0 while too few are known. */
+    /** Returns the median difference to the peers' clocks in milliseconds, positive when this clock is ahead; 0 with too few peers. */
     getDifference(): number {
-        if (this.differences.size < leastNodes) {
+        if (this.differencesByNode.size < minimumPeers) {
             return 0;
         }
-        // The message that was fastest shows the difference best.
-        const best = [...this.differences.values()].map(window => Math.min(...window));
-        best.sort((left, right) => left - right);
-        return best[Math.floor(best.length / 2)] as number;
+        // The message with the shortest delay adds the least to the clock difference.
+        const smallest = [...this.differencesByNode.values()].map(window => Math.min(...window));
+        smallest.sort((left, right) => left - right);
+        return smallest[Math.floor(smallest.length / 2)] as number;
     }
 
-    /** Says whether the clock can be trusted with deadlines. */
+    /** Returns whether the clock is accurate enough to meet deadlines. */
     isWithinBounds(): boolean {
         return Math.abs(this.getDifference()) <= clockDifferenceLimitMilliseconds;
     }
--- a/src/control/moves/latencyBaseline.ts
+++ b/src/control/moves/latencyBaseline.ts
@@ -1,22 +1,22 @@
-/** Observations that are kept of each kind of load. */
+/** Latest observations that are kept for each latency kind and load level. */
 const windowSize = 64;
-/** Observations needed before anything is called slow. */
-const leastObservations = 10;
-/** Share of the old version's observations that lie below the threshold. */
-const quantileShare = 0.9;
-/** Factor and addition, in milliseconds, by which a time must pass that quantile to be called slow. */
+/** Observations required before a time is compared. */
+const minimumObservations = 10;
+/** Quantile of the old version's times from which the threshold is computed. */
+const slowQuantile = 0.9;
+/** A time is slow when it exceeds the quantile times this factor plus this margin, in the unit of the recorded times. */
 const slowFactor = 1.3;
-const slowAddition = 5;
-/** Share of an endpoint's capacity that divides light load from heavy load. */
-const heavyLoadShare = 0.5;
+const slowMargin = 5;
+/** Load of an endpoint, as a share of its capacity, from which it counts as heavy. */
+const heavyLoadThreshold = 0.5;
 
-/** Which of a version's times is meant. */
+/** Which latency of an attempt is compared. */
 export enum LatencyKind {
     FirstToken = "first-token",
     BetweenTokens = "between-tokens",
 }
 
-/** Remembers how fast the old version is, under light and under heavy load, and tells which times are slow. */
+/** Keeps recent latencies of the old version, under light and heavy load separately, and classifies times of the new version as slow. */
 export class LatencyBaseline {
     private readonly windows = new Map<string, number[]>();
 
@@ -26,7 +26,7 @@
         return new LatencyBaseline();
     }
 
-    /** Records a time of the old version, in milliseconds. */
+    /** Records a latency of the old version. The unit is the caller's choice, the same for all calls; the load is a share of the capacity. */
     recordTime(kind: LatencyKind, load: number, time: number): void {
         const key = createKey(kind, load);
         const window = this.windows.get(key) ?? [];
@@ -37,18 +37,18 @@
         this.windows.set(key, window);
     }
 
-    /** Says whether a time is slow against the old version under comparable load; undefined while too little is known. */
+    /** Returns whether a time is slow compared with the old version under similar load; undefined with too few observations. */
     isSlow(kind: LatencyKind, load: number, time: number): boolean | undefined {
         const window = this.windows.get(createKey(kind, load)) ?? [];
-        if (window.length < leastObservations) {
+        if (window.length < minimumObservations) {
             return undefined;
         }
         const sorted = [...window].sort((left, right) => left - right);
-        const quantile = sorted[Math.floor(sorted.length * quantileShare)] as number;
-        return time > quantile * slowFactor + slowAddition;
+        const quantile = sorted[Math.floor(sorted.length * slowQuantile)] as number;
+        return time > quantile * slowFactor + slowMargin;
     }
 }
 
 function createKey(kind: LatencyKind, load: number): string {
-    return `${kind}/${load >= heavyLoadShare ? "heavy" : "light"}`;
+    return `${kind}/${load >= heavyLoadThreshold ? "heavy" : "light"}`;
 }
--- a/src/control/moves/moveDuty.ts
+++ b/src/control/moves/moveDuty.ts
@@ -14,29 +14,29 @@
 import { grantTermMilliseconds, MoveKeeper } from "./moveKeeper.js";
 import { createEndedRecord, createShareStep, MoveReason, MoveRecord, MoveState, parseMoveRecord } from "./moveRecord.js";
 
-const roundMilliseconds = 500;
-/** Requests that are to reach the new version while its share is still at its smallest. */
+const roundIntervalMilliseconds = 500;
+/** Attempts at the new version required in the first stage. */
 const firstStageTrials = 8;
-/** The smallest share, for services with much traffic, and the largest first share, for those with little. */
-const leastFirstShare = 0.01;
-const mostFirstShare = 0.2;
-/** Part of the requests expected until the deadline that the first stage may use up. */
-const firstStagePart = 0.25;
-/** Factor from one share to the next, and the share from which the next step completes the move. */
+/** Bounds of the first share: the minimum for services with much traffic, the maximum for those with little. */
+const minimumFirstShare = 0.01;
+const maximumFirstShare = 0.2;
+/** Fraction of the requests expected until the deadline in which the first stage has to finish. */
+const firstStageRequestFraction = 0.25;
+/** Growth factor of the share in each step, and the last share before completion. */
 const shareGrowth = 3;
-const lastShare = 0.5;
-/** Attempts at the new version before each further step. */
+const finalStageShare = 0.5;
+/** Attempts at the new version required in each later stage. */
 const stageTrials = 12;
-/** Attempts at the new version before the move is completed. */
+/** Attempts at the new version required in total before the move is completed. */
 const completionTrials = 50;
-/** Evidence against the version, as a share of the bound, above which no step is taken. */
-const cautionEvidence = 0.4;
-/** Time after the end within which every reachable domain confirms it, in milliseconds. */
-const accountMilliseconds = 4_000;
-/** Sequence numbers of one holder. */
-const sequenceSpan = 1_000_000n;
+/** Evidence against the new version, as a share of the rollback bound, from which the share is not increased. */
+const stepEvidenceLimit = 0.4;
+/** Time after the end of a move within which every reachable failure domain confirms it. */
+const endConfirmationMilliseconds = 4_000;
+/** Grant sequence numbers available to one holder; a higher fencing number yields higher sequence numbers. */
+const sequenceNumbersPerHolder = 1_000_000n;
 
-/** The parts of a node that running moves needs. */
+/** Dependencies of the move duty. */
 export interface MoveDutyParts {
     readonly store: ObjectStore;
     readonly objects: SharedObjects;
@@ -48,29 +48,32 @@
     readonly clocks: ClockMonitor;
     readonly clock: Clock;
     readonly logger: Logger;
-    /** Longest time in which a write to the platform takes effect or never does, in milliseconds. */
+    /** Time in milliseconds after which a write to the platform has either taken effect or never will. */
     readonly writeSettleTime: number;
 }
 
-/** Runs the fleet's moves while this node holds the fleet's lease: raises shares by evidence, completes, takes back. */
+/**
+ * Runs the fleet's version moves while this node holds the fleet's lease: starts declared moves, increases the new version's share
+ * as evidence allows, and completes each move or rolls it back before its deadline.
+ */
 export class MoveDuty {
     private readonly stopping = new AbortController();
-    private readonly stageStarts = new Map<string, number>();
-    private readonly stepping = new Set<string>();
-    private counter = 0n;
-    private lastFencing = 0;
+    private readonly trialsAtStageStart = new Map<string, number>();
+    private readonly pendingWrites = new Set<string>();
+    private grantCount = 0n;
+    private grantFencing = 0;
 
-    private constructor(private readonly parts: MoveDutyParts) {}
+    private constructor(private readonly dependencies: MoveDutyParts) {}
 
-    static create(parts: MoveDutyParts): MoveDuty {
-        return new MoveDuty(parts);
+    static create(dependencies: MoveDutyParts): MoveDuty {
+        return new MoveDuty(dependencies);
     }
 
     /** Runs until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
             await this.runRound();
-            await this.parts.clock.sleep(roundMilliseconds, this.stopping.signal);
+            await this.dependencies.clock.sleep(roundIntervalMilliseconds, this.stopping.signal);
         }
     }
 
@@ -78,24 +81,24 @@
         this.stopping.abort();
     }
 
-    /** Returns the time before a deadline at which a move must be completed, in milliseconds. */
+    /** Returns the time before the deadline, in milliseconds, from which a move that is not completed is rolled back. */
     getMargin(): number {
-        return this.parts.writeSettleTime + clockDifferenceLimitMilliseconds;
+        return this.dependencies.writeSettleTime + clockDifferenceLimitMilliseconds;
     }
 
-    /** Looks at every move once. */
+    /** Renews the grants, then reads and processes every move once; does nothing without the lease. */
     async runRound(): Promise<void> {
-        if (this.parts.lease.getGrant() === undefined) {
+        if (this.dependencies.lease.getGrant() === undefined) {
             return;
         }
-        // Grants are renewed from memory, so that a slow platform does not end them.
+        // Grants are renewed from memory, so that they don't expire while the platform is slow.
         this.renewGrants();
-        const listed = await this.parts.store.listObjects(movePrefix);
+        const listed = await this.dependencies.store.listObjects(movePrefix);
         if (listed.err) {
             return;
         }
         for (const object of listed.val.objects) {
-            this.parts.objects.applyObject(object);
+            this.dependencies.objects.applyObject(object);
         }
         await this.startDeclaredMoves(listed.val.objects);
         for (const object of listed.val.objects) {
@@ -106,46 +109,46 @@
         }
     }
 
-    /** A stale list must not lead to a decision. */
+    /** Returns whether the object is at least as new as the local copy: no decision may rest on a stale read. */
     private isCurrent(object: StoredObject, record: MoveRecord): boolean {
-        return object.revision >= this.parts.keeper.getRevision(record.service);
+        return object.revision >= this.dependencies.keeper.getRevision(record.service);
     }
 
     private renewGrants(): void {
-        for (const record of this.parts.keeper.listRecords()) {
-            if (record.state === MoveState.Running && record.fencing === this.parts.lease.getGrant()?.fencing) {
+        for (const record of this.dependencies.keeper.listRecords()) {
+            if (record.state === MoveState.Running && record.fencing === this.dependencies.lease.getGrant()?.fencing) {
                 this.grantShare(record);
             }
         }
     }
 
     private grantShare(record: MoveRecord): void {
-        const grant = this.parts.lease.getGrant();
-        if (grant === undefined || !this.parts.clocks.isWithinBounds()) {
+        const grant = this.dependencies.lease.getGrant();
+        if (grant === undefined || !this.dependencies.clocks.isWithinBounds()) {
             return;
         }
-        if (grant.fencing !== this.lastFencing) {
-            this.lastFencing = grant.fencing;
-            this.counter = 0n;
+        if (grant.fencing !== this.grantFencing) {
+            this.grantFencing = grant.fencing;
+            this.grantCount = 0n;
         }
-        this.counter += 1n;
-        const sequence = BigInt(grant.fencing) * sequenceSpan + this.counter;
-        const untilDeadline = record.deadline - this.parts.clock.getWallTime();
+        this.grantCount += 1n;
+        const sequence = BigInt(grant.fencing) * sequenceNumbersPerHolder + this.grantCount;
+        const untilDeadline = record.deadline - this.dependencies.clock.getWallTime();
         const term = Math.min(grantTermMilliseconds, grant.remaining, Math.max(0, untilDeadline));
-        this.parts.keeper.grantShare(record.service, sequence, record.share, term);
+        this.dependencies.keeper.grantShare(record.service, sequence, record.share, term);
     }
 
-    /** Starts the moves that the configuration declares and that have not been run. */
+    /** Starts the moves that the configuration declares and that have no record yet. */
     private async startDeclaredMoves(existing: readonly StoredObject[]): Promise<void> {
-        const { configuration, clock } = this.parts;
+        const { configuration, clock } = this.dependencies;
         for (const object of configuration.listObjects()) {
             for (const move of object.configuration.moves) {
                 const current = existing.find(candidate => candidate.name === movePrefix + move.service);
                 const record = current === undefined ? undefined : parseMoveRecord(current);
-                const isRun = record !== undefined && record.to === move.to && record.deadline === move.deadline;
+                const hasRecord = record !== undefined && record.to === move.to && record.deadline === move.deadline;
                 const service = configuration.findService(move.service);
-                const isLate = move.deadline - clock.getWallTime() < this.getMargin();
-                if (isRun || isLate || service === undefined || service.version === move.to || record?.state === MoveState.Running) {
+                const isTooLate = move.deadline - clock.getWallTime() < this.getMargin();
+                if (hasRecord || isTooLate || service === undefined || service.version === move.to || record?.state === MoveState.Running) {
                     continue;
                 }
                 await this.createMove(service.name, service.version, move.to, move.deadline, current);
@@ -160,23 +163,23 @@
         deadline: number,
         current: StoredObject | undefined,
     ): Promise<void> {
-        const record = createMoveRecord(service, from, to, deadline, this.parts.clock.getWallTime());
+        const record = createMoveRecord(service, from, to, deadline, this.dependencies.clock.getWallTime());
         const name = movePrefix + service;
-        const written = await writeObject(this.parts.store, name, record, current);
+        const written = await writeObject(this.dependencies.store, name, record, current);
         if (written.ok) {
-            this.parts.objects.applyObject({ name, revision: written.val, value: record });
+            this.dependencies.objects.applyObject({ name, revision: written.val, value: record });
         }
     }
 
     private async runMove(record: MoveRecord, revision: number): Promise<void> {
         if (record.state !== MoveState.Running) {
-            await this.accountForEnd(record, revision);
+            await this.recordUnconfirmedDomains(record, revision);
             return;
         }
-        const { keeper, clock } = this.parts;
-        const takeBack = keeper.findTakeBack(record.service);
-        if (takeBack !== undefined) {
-            await this.endMove(record, revision, MoveState.TakenBack, takeBack.reason, takeBack.detail);
+        const { keeper, clock } = this.dependencies;
+        const rollback = keeper.findTakeBack(record.service);
+        if (rollback !== undefined) {
+            await this.endMove(record, revision, MoveState.TakenBack, rollback.reason, rollback.detail);
             return;
         }
         if (clock.getWallTime() >= record.deadline - this.getMargin()) {
@@ -188,10 +191,10 @@
     }
 
     private async advanceMove(record: MoveRecord, revision: number): Promise<void> {
-        const { keeper } = this.parts;
+        const { keeper } = this.dependencies;
         const counts = keeper.computeEvidence(record.service, record.to);
-        const isCalm = keeper.getEvidence(record.service) < cautionEvidence;
-        if (isCalm && record.share >= lastShare && counts.trials >= completionTrials) {
+        const isBelowEvidenceLimit = keeper.getEvidence(record.service) < stepEvidenceLimit;
+        if (isBelowEvidenceLimit && record.share >= finalStageShare && counts.trials >= completionTrials) {
             await this.endMove(
                 record,
                 revision,
@@ -201,45 +204,48 @@
             );
             return;
         }
-        const next = this.computeNextShare(record, counts.trials, isCalm);
-        if (next > record.share || record.fencing !== this.parts.lease.getGrant()?.fencing) {
+        const next = this.computeNextShare(record, counts.trials, isBelowEvidenceLimit);
+        if (next > record.share || record.fencing !== this.dependencies.lease.getGrant()?.fencing) {
             const stepped = next > record.share
-                ? createShareStep(record, next, this.parts.clock.getWallTime(), counts.trials, counts.failures)
+                ? createShareStep(record, next, this.dependencies.clock.getWallTime(), counts.trials, counts.failures)
                 : record;
             await this.writeRecord(stepped, revision);
         }
     }
 
-    private computeNextShare(record: MoveRecord, trials: number, isCalm: boolean): number {
-        if (!this.isLoaded(record)) {
+    private computeNextShare(record: MoveRecord, trials: number, isBelowEvidenceLimit: boolean): number {
+        if (!this.isLoadedInEveryDomain(record)) {
             return record.share;
         }
         if (record.share === 0) {
-            this.stageStarts.set(record.id, trials);
+            this.trialsAtStageStart.set(record.id, trials);
             return this.computeFirstShare(record);
         }
-        // A new holder does not know when the stage began; it counts from now on.
-        const stageStart = this.stageStarts.get(record.id) ?? trials;
-        this.stageStarts.set(record.id, stageStart);
+        // A new lease holder has no count from the start of the stage, so it counts from now.
+        const stageStart = this.trialsAtStageStart.get(record.id) ?? trials;
+        this.trialsAtStageStart.set(record.id, stageStart);
         const needed = record.steps.length <= 2 ? firstStageTrials : stageTrials;
-        if (!isCalm || trials - stageStart < needed) {
+        if (!isBelowEvidenceLimit || trials - stageStart < needed) {
             return record.share;
         }
-        this.stageStarts.set(record.id, trials);
-        return Math.min(1, record.share * shareGrowth >= lastShare ? Math.max(lastShare, record.share) : record.share * shareGrowth);
+        this.trialsAtStageStart.set(record.id, trials);
+        return Math.min(
+            1,
+            record.share * shareGrowth >= finalStageShare ? Math.max(finalStageShare, record.share) : record.share * shareGrowth,
+        );
     }
 
-    /** Chooses the first share: small where traffic is plentiful, larger where the first stage would outlast the deadline. */
+    /** Computes the first share: small for services with much traffic, larger where the first stage would take too long. */
     private computeFirstShare(record: MoveRecord): number {
-        const service = this.parts.configuration.findService(record.service);
-        const hours = (record.deadline - this.parts.clock.getWallTime()) / millisecondsPerHour;
+        const service = this.dependencies.configuration.findService(record.service);
+        const hours = (record.deadline - this.dependencies.clock.getWallTime()) / millisecondsPerHour;
         const expected = Math.max(1, (service?.requestsPerHour ?? 1) * hours);
-        return Math.min(mostFirstShare, Math.max(leastFirstShare, firstStageTrials / (expected * firstStagePart)));
+        return Math.min(maximumFirstShare, Math.max(minimumFirstShare, firstStageTrials / (expected * firstStageRequestFraction)));
     }
 
-    /** Says whether the new version is loaded somewhere in every failure domain that serves the old one. */
-    private isLoaded(record: MoveRecord): boolean {
-        const { configuration, registry } = this.parts;
+    /** Returns whether the new version is loaded on at least one endpoint in every failure domain of its group. */
+    private isLoadedInEveryDomain(record: MoveRecord): boolean {
+        const { configuration, registry } = this.dependencies;
         const service = configuration.findService(record.service);
         const declared = service?.versions.find(version => version.name === record.to);
         if (service === undefined || declared === undefined) {
@@ -264,15 +270,23 @@
         reason: MoveReason,
         detail: string,
     ): Promise<void> {
-        const counts = this.parts.keeper.computeEvidence(record.service, record.to);
-        const ended = createEndedRecord(record, state, reason, detail, this.parts.clock.getWallTime(), counts.trials, counts.failures);
+        const counts = this.dependencies.keeper.computeEvidence(record.service, record.to);
+        const ended = createEndedRecord(
+            record,
+            state,
+            reason,
+            detail,
+            this.dependencies.clock.getWallTime(),
+            counts.trials,
+            counts.failures,
+        );
         await this.writeRecord(ended, revision);
     }
 
-    /** Names, some time after the end, the failure domains that could not confirm it. */
-    private async accountForEnd(record: MoveRecord, revision: number): Promise<void> {
-        const { clock, directory } = this.parts;
-        if (record.is_accounted || clock.getWallTime() - (record.ended_at ?? 0) < accountMilliseconds) {
+    /** Records, once the confirmation time after the end has passed, the failure domains that have not confirmed it. */
+    private async recordUnconfirmedDomains(record: MoveRecord, revision: number): Promise<void> {
+        const { clock, directory } = this.dependencies;
+        if (record.is_accounted || clock.getWallTime() - (record.ended_at ?? 0) < endConfirmationMilliseconds) {
             return;
         }
         const confirmed = new Set([directory.identity.failureDomain]);
@@ -285,24 +299,24 @@
         await this.writeRecord({ ...record, unconfirmed_domains: unconfirmed, is_accounted: true }, revision);
     }
 
-    /** Writes a record under the lease; one write of a move at a time. */
+    /** Writes a record under the lease; skips it while another write of the same service's move is pending. */
     private async writeRecord(record: MoveRecord, revision: number): Promise<void> {
-        const grant = this.parts.lease.getGrant();
-        if (grant === undefined || this.stepping.has(record.service)) {
+        const grant = this.dependencies.lease.getGrant();
+        if (grant === undefined || this.pendingWrites.has(record.service)) {
             return;
         }
-        this.stepping.add(record.service);
+        this.pendingWrites.add(record.service);
         const name = movePrefix + record.service;
         const value = { ...record, fencing: grant.fencing };
-        const written = await this.parts.store.replaceObject(name, value, revision);
-        this.stepping.delete(record.service);
+        const written = await this.dependencies.store.replaceObject(name, value, revision);
+        this.pendingWrites.delete(record.service);
         if (written.ok) {
-            const change = this.parts.objects.applyObject({ name, revision: written.val, value });
+            const change = this.dependencies.objects.applyObject({ name, revision: written.val, value });
             if (change === SharedObjectChange.Applied && value.state === MoveState.Running) {
                 this.grantShare(value);
             }
         }
-        // A lost answer is settled by the next round, which reads the record again.
+        // The next round reads the record again and so resolves an unknown outcome.
     }
 }
 
--- a/src/control/moves/moveEvidence.ts
+++ b/src/control/moves/moveEvidence.ts
@@ -1,15 +1,15 @@
-/** What nodes counted of one version on one route. Counts only rise. */
+/** Counts of the attempts at one version on one route. Counts never decrease. */
 export interface EvidenceCounts {
     trials: number;
     failures: number;
-    /** Attempts whose times could be compared with the old version's. */
+    /** Attempts whose latencies could be compared with the old version's. */
     timed: number;
     slowFirstTokens: number;
     slowGaps: number;
     incomplete: number;
 }
 
-/** Where counts come from. */
+/** Key of an evidence entry: version and route, and the node and its incarnation that counted. */
 export interface EvidenceSource {
     readonly version: string;
     readonly route: string;
@@ -17,17 +17,16 @@
     readonly incarnation: number;
 }
 
-/** One entry as it travels between nodes. */
+/** Counts of one source, as exchanged between nodes. */
 export interface EvidenceEntry extends EvidenceSource {
     readonly counts: EvidenceCounts;
 }
 
-/** Creates counts of nothing. */
 export function createEmptyCounts(): EvidenceCounts {
     return { trials: 0, failures: 0, timed: 0, slowFirstTokens: 0, slowGaps: 0, incomplete: 0 };
 }
 
-/** Adds counts to others. */
+/** Adds counts to a target in place. */
 export function addCounts(target: EvidenceCounts, added: EvidenceCounts): void {
     target.trials += added.trials;
     target.failures += added.failures;
@@ -37,7 +36,7 @@
     target.incomplete += added.incomplete;
 }
 
-/** The evidence of all nodes on one move. Entries merge by taking the higher counts, so their order does not matter. */
+/** Evidence of all nodes about one move. Entries merge by the higher count, so digests may arrive repeatedly and in any order. */
 export class MoveEvidence {
     private readonly entries = new Map<string, EvidenceEntry>();
 
@@ -47,8 +46,8 @@
         return new MoveEvidence();
     }
 
-    /** Returns the counts of a source, to be raised by the node that owns them. */
-    openCounts(source: EvidenceSource): EvidenceCounts {
+    /** Returns the counts of a source for in-place increments; only the source's own node may increment them. */
+    getOrCreateCounts(source: EvidenceSource): EvidenceCounts {
         const key = createKey(source);
         const existing = this.entries.get(key);
         if (existing !== undefined) {
@@ -59,9 +58,9 @@
         return counts;
     }
 
-    /** Takes over an entry of another node; returns what it adds to what was known. */
+    /** Merges an entry of another node; returns the increase over the counts present before. */
     mergeEntry(entry: EvidenceEntry): EvidenceCounts {
-        const known = this.openCounts(entry);
+        const known = this.getOrCreateCounts(entry);
         const added: EvidenceCounts = {
             trials: Math.max(0, entry.counts.trials - known.trials),
             failures: Math.max(0, entry.counts.failures - known.failures),
@@ -74,7 +73,7 @@
         return added;
     }
 
-    /** Returns the sum over all nodes of one version, on one route or on all. */
+    /** Returns the counts of a version summed over all nodes, on one route or on all. */
     computeCounts(version: string, route?: string): EvidenceCounts {
         const sum = createEmptyCounts();
         for (const entry of this.entries.values()) {
--- a/src/control/moves/moveKeeper.ts
+++ b/src/control/moves/moveKeeper.ts
@@ -17,49 +17,49 @@
 import { MoveReason, MoveRecord, MoveState, parseMoveRecord } from "./moveRecord.js";
 import { cumulativeSumFactory, TestFactory, VersionJudge } from "./versionJudge.js";
 
-/** Entries of evidence in one digest. */
-const evidenceLimit = 40;
-/** Evidence against a version, as a share of the bound, from which it is tried without callers. */
-const doubtEvidence = 0.2;
-/** Time for which a version is tried without callers after its evidence last grew, in milliseconds. */
-const doubtMilliseconds = 8_000;
-/** Term of a grant, in milliseconds. */
+/** Upper limit of evidence entries in one digest; bounds its size. */
+const evidenceEntriesPerDigest = 40;
+/** Evidence against the new version, as a share of the rollback bound, from which it gets shadow requests. */
+const shadowEvidenceThreshold = 0.2;
+/** Time for which the new version gets shadow requests after the evidence against it last increased. */
+const shadowPeriodMilliseconds = 8_000;
+/** Time after which a grant expires unless it is renewed. */
 export const grantTermMilliseconds = 5_000;
-const hashSpan = 0x1_0000_0000;
+const hashRange = 0x1_0000_0000;
 
-/** A share that the new version may get, until it expires. */
-interface HeldGrant {
+/** Share of this node's traffic that the new version may get until the grant expires. */
+interface ActiveGrant {
     readonly sequence: bigint;
     readonly share: number;
     /** Monotonic milliseconds. */
     readonly expiresAt: number;
 }
 
-/** What this node knows of one move. */
-interface KnownMove {
+/** State that this node keeps for one move. */
+interface TrackedMove {
     record: MoveRecord;
     revision: number;
-    grant: HeldGrant | undefined;
-    /** Why this node or a peer saw the version to be bad. */
-    takenBack: { readonly reason: MoveReason; readonly detail: string; } | undefined;
-    /** Monotonic milliseconds until which the new version is tried without callers. */
-    doubtUntil: number;
+    grant: ActiveGrant | undefined;
+    /** Why this node or a peer rolled the new version back; undefined while it may get traffic. */
+    rollback: { readonly reason: MoveReason; readonly detail: string; } | undefined;
+    /** Monotonic milliseconds until which the new version gets shadow requests. */
+    shadowUntil: number;
     readonly evidence: MoveEvidence;
     readonly judge: VersionJudge;
 }
 
-/** Learns when a move ends. */
+/** Is notified when a move has been completed or rolled back. */
 export interface MoveListener {
     handleMoveEnd(record: MoveRecord): void;
 }
 
 /**
- * The node's part in version moves: serves each version its share while the grant lasts, counts what attempts show,
- * and lowers the share to nothing at once when the new version shows itself to be bad.
+ * Controls the node's traffic in version moves: selects the version of each request by the granted share, collects evidence from
+ * attempts, and stops the new version's traffic at once when the evidence reaches the rollback bound.
  */
 export class MoveKeeper implements SharedObjectConsumer, VersionPolicy, VersionObserver, ShadowPolicy, MoveEvidenceExchange {
     readonly prefix = movePrefix;
-    private readonly moves = new Map<string, KnownMove>();
+    private readonly moves = new Map<string, TrackedMove>();
     private readonly baselines = new Map<string, LatencyBaseline>();
     private readonly listeners = new Set<MoveListener>();
 
@@ -70,7 +70,7 @@
         private readonly notifier: UrgentNotifier,
         private readonly metrics: Metrics,
         private readonly logger: Logger,
-        private readonly factory: TestFactory,
+        private readonly testFactory: TestFactory,
     ) {}
 
     static create(
@@ -80,9 +80,9 @@
         notifier: UrgentNotifier,
         metrics: Metrics,
         logger: Logger,
-        factory: TestFactory = cumulativeSumFactory,
+        testFactory: TestFactory = cumulativeSumFactory,
     ): MoveKeeper {
-        return new MoveKeeper(identity, clock, random, notifier, metrics, logger, factory);
+        return new MoveKeeper(identity, clock, random, notifier, metrics, logger, testFactory);
     }
 
     addListener(listener: MoveListener): void {
@@ -94,15 +94,15 @@
         if (record === undefined || object.name !== movePrefix + record.service) {
             return false;
         }
-        const known = this.moves.get(record.service);
-        if (known === undefined || known.record.id !== record.id) {
-            this.moves.set(record.service, this.createKnownMove(record, object.revision));
-            this.logger.info("version move seen", { service: record.service, to: record.to, state: record.state });
+        const tracked = this.moves.get(record.service);
+        if (tracked === undefined || tracked.record.id !== record.id) {
+            this.moves.set(record.service, this.createTrackedMove(record, object.revision));
+            this.logger.info("started to track a version move", { service: record.service, to: record.to, state: record.state });
             return true;
         }
-        const hasEnded = known.record.state === MoveState.Running && record.state !== MoveState.Running;
-        known.record = record;
-        known.revision = object.revision;
+        const hasEnded = tracked.record.state === MoveState.Running && record.state !== MoveState.Running;
+        tracked.record = record;
+        tracked.revision = object.revision;
         if (hasEnded) {
             this.recordEnd(record);
         }
@@ -118,18 +118,18 @@
         if (share <= 0) {
             return service.version;
         }
-        const fraction = parseInt(hashSha256(`${move.record.id}\n${requestId}`).slice(0, 8), 16) / hashSpan;
+        const fraction = parseInt(hashSha256(`${move.record.id}\n${requestId}`).slice(0, 8), 16) / hashRange;
         return fraction < share ? move.record.to : service.version;
     }
 
-    /** Returns the version that serves a service but for the share of a running move. */
+    /** Returns the version that serves a service apart from the share of a running move. */
     getServingVersion(service: ServiceDeclaration): string {
         const move = this.moves.get(service.name);
         const isCompleted = move?.record.state === MoveState.Completed && move.record.from === service.version;
         return isCompleted ? move.record.to : service.version;
     }
 
-    /** Returns the share of the traffic that the new version of a service gets from this node now. */
+    /** Returns the share of this node's traffic, from 0 to 1, that the new version of a service gets now. */
     getCurrentShare(serviceName: string): number {
         const move = this.moves.get(serviceName);
         return move === undefined ? 0 : this.getShare(move);
@@ -139,16 +139,16 @@
         return this.moves.get(serviceName)?.record;
     }
 
-    /** Returns the new version of a running move while the evidence leaves doubt about it. */
+    /** Returns the new version of a running move while it gets shadow requests; only idempotent services get them. */
     findShadowVersion(service: ServiceDeclaration): string | undefined {
         const move = this.moves.get(service.name);
-        if (move === undefined || move.record.state !== MoveState.Running || move.takenBack !== undefined || !service.idempotent) {
+        if (move === undefined || move.record.state !== MoveState.Running || move.rollback !== undefined || !service.idempotent) {
             return undefined;
         }
-        return move.doubtUntil > this.clock.getMonotonicTime() ? move.record.to : undefined;
+        return move.shadowUntil > this.clock.getMonotonicTime() ? move.record.to : undefined;
     }
 
-    /** Returns the revision at which this node knows the move of a service, or 0. */
+    /** Returns the revision of this node's copy of a service's move, or 0 when there is none. */
     getRevision(serviceName: string): number {
         return this.moves.get(serviceName)?.revision ?? 0;
     }
@@ -157,22 +157,22 @@
         return [...this.moves.values()].map(move => move.record);
     }
 
-    /** Returns why this node holds the new version to be bad, or undefined. */
+    /** Returns why this node stopped the new version's traffic, or undefined. */
     findTakeBack(serviceName: string): { readonly reason: MoveReason; readonly detail: string; } | undefined {
-        return this.moves.get(serviceName)?.takenBack;
+        return this.moves.get(serviceName)?.rollback;
     }
 
-    /** Returns what all nodes counted of a version of a running move. */
+    /** Returns the counts of all nodes for a version of a service's move. */
     computeEvidence(serviceName: string, version: string): EvidenceCounts {
         return this.moves.get(serviceName)?.evidence.computeCounts(version) ?? createEmptyCounts();
     }
 
-    /** Returns the strongest evidence against the new version as a share of the bound. */
+    /** Returns the strongest evidence against the new version as a share of the bound, from 0 to 1. */
     getEvidence(serviceName: string): number {
         return this.moves.get(serviceName)?.judge.getEvidence() ?? 0;
     }
 
-    /** Gives the new version of a move a share for one term; called by the holder of the fleet's lease. */
+    /** Grants the new version of a move a share for a term in milliseconds; called by the holder of the fleet's lease. */
     grantShare(serviceName: string, sequence: bigint, share: number, term: number): void {
         const move = this.moves.get(serviceName);
         if (move !== undefined) {
@@ -192,7 +192,7 @@
         const added = this.createCounts(observation);
         const route = `${observation.team}/${observation.route}`;
         const source = { version: observation.version, route, node: this.identity.name, incarnation: this.identity.incarnation };
-        const counts = move.evidence.openCounts(source);
+        const counts = move.evidence.getOrCreateCounts(source);
         for (const key of Object.keys(added) as (keyof EvidenceCounts)[]) {
             counts[key] += added[key];
         }
@@ -202,17 +202,17 @@
     }
 
     createEvidence(): NodeDigestInit["evidence"] {
-        const own: { move: KnownMove; entry: EvidenceEntry; }[] = [];
-        const others: { move: KnownMove; entry: EvidenceEntry; }[] = [];
+        const localEntries: { move: TrackedMove; entry: EvidenceEntry; }[] = [];
+        const peerEntries: { move: TrackedMove; entry: EvidenceEntry; }[] = [];
         for (const move of this.moves.values()) {
             if (move.record.state !== MoveState.Running) {
                 continue;
             }
             for (const entry of move.evidence.listEntries()) {
-                (entry.node === this.identity.name ? own : others).push({ move, entry });
+                (entry.node === this.identity.name ? localEntries : peerEntries).push({ move, entry });
             }
         }
-        const chosen = [...own, ...this.pickRotated(others)].slice(0, evidenceLimit);
+        const chosen = [...localEntries, ...this.pickRotated(peerEntries)].slice(0, evidenceEntriesPerDigest);
         return chosen.map(({ move, entry }) => ({
             service: move.record.service,
             move: move.record.id,
@@ -263,15 +263,15 @@
                 continue;
             }
             const remaining = Math.max(0, Math.floor((move.grant?.expiresAt ?? now) - now));
-            if (remaining > 0 || move.takenBack !== undefined) {
+            if (remaining > 0 || move.rollback !== undefined) {
                 grants.push({
                     service: move.record.service,
                     move: move.record.id,
                     sequence: move.grant?.sequence ?? 0n,
                     share: move.grant?.share ?? 0,
                     remainingMilliseconds: remaining,
-                    takenBack: move.takenBack !== undefined,
-                    reason: move.takenBack?.reason ?? "",
+                    takenBack: move.rollback !== undefined,
+                    reason: move.rollback?.reason ?? "",
                 });
             }
         }
@@ -279,89 +279,94 @@
     }
 
     applyGrants(grants: NodeDigest["grants"]): boolean {
-        let hasNews = false;
+        let hasUrgentChange = false;
         for (const grant of grants) {
             const move = this.moves.get(grant.service);
             if (move === undefined || move.record.id !== grant.move) {
                 continue;
             }
-            if (grant.takenBack && move.takenBack === undefined) {
-                hasNews = true;
+            if (grant.takenBack && move.rollback === undefined) {
+                hasUrgentChange = true;
                 const reason = Object.values(MoveReason).find(candidate => candidate === grant.reason) ?? MoveReason.Failures;
-                this.takeBack(move, reason, "seen by another node");
+                this.recordRollback(move, reason, "seen by another node");
             }
             const expiresAt = this.clock.getMonotonicTime() + grant.remainingMilliseconds;
             this.applyGrant(move, { sequence: grant.sequence, share: grant.share, expiresAt });
         }
-        return hasNews;
+        return hasUrgentChange;
     }
 
-    private createKnownMove(record: MoveRecord, revision: number): KnownMove {
+    private createTrackedMove(record: MoveRecord, revision: number): TrackedMove {
         const evidence = MoveEvidence.create();
         return {
             record,
             revision,
             grant: undefined,
-            takenBack: undefined,
-            doubtUntil: -Infinity,
+            rollback: undefined,
+            shadowUntil: -Infinity,
             evidence,
-            judge: VersionJudge.create(evidence, record.from, this.factory),
+            judge: VersionJudge.create(evidence, record.from, this.testFactory),
         };
     }
 
-    private getShare(move: KnownMove): number {
+    private getShare(move: TrackedMove): number {
         const { record } = move;
         if (record.state === MoveState.Completed) {
             return 1;
         }
-        const isOver = record.state === MoveState.TakenBack || this.clock.getWallTime() >= record.deadline;
-        if (isOver || move.takenBack !== undefined || move.grant === undefined) {
+        const hasEnded = record.state === MoveState.TakenBack || this.clock.getWallTime() >= record.deadline;
+        if (hasEnded || move.rollback !== undefined || move.grant === undefined) {
             return 0;
         }
         return move.grant.expiresAt > this.clock.getMonotonicTime() ? move.grant.share : 0;
     }
 
-    private applyGrant(move: KnownMove, grant: HeldGrant): void {
+    private applyGrant(move: TrackedMove, grant: ActiveGrant): void {
         const current = move.grant;
         const isNewer = current === undefined || grant.sequence > current.sequence;
-        // A relayed copy of the same grant may show a longer rest by the time it took; the shorter one holds.
+        // A relayed copy of the same grant ignores the relay's delay and would expire later, so the first copy is kept.
         if (isNewer) {
             move.grant = grant;
             this.metrics.moveShare.set({ service: move.record.service }, this.getShare(move));
         }
     }
 
-    private judgeCounts(move: KnownMove, route: string, added: EvidenceCounts): void {
-        const before = move.judge.getEvidence();
+    private judgeCounts(move: TrackedMove, route: string, added: EvidenceCounts): void {
+        const evidenceBefore = move.judge.getEvidence();
         move.judge.addCounts(route, added);
-        this.recordDoubt(move, before);
+        this.updateShadowPeriod(move, evidenceBefore);
         const finding = move.judge.getFinding();
-        if (finding !== undefined && move.takenBack === undefined) {
-            const where = finding.route === "" ? "on all routes" : `on route ${finding.route}`;
-            this.takeBack(move, finding.reason, where);
+        if (finding !== undefined && move.rollback === undefined) {
+            const scope = finding.route === "" ? "on all routes" : `on route ${finding.route}`;
+            this.recordRollback(move, finding.reason, scope);
             void this.notifier.sendUrgentDigest();
         }
     }
 
-    /** Notes that the evidence has grown to a doubt; it is settled over some time, since a version may be bad only in part. */
-    private recordDoubt(move: KnownMove, evidenceBefore: number): void {
+    /** Starts or extends the shadow period when the evidence has increased; it lasts, since a version may fail on part of the requests only. */
+    private updateShadowPeriod(move: TrackedMove, evidenceBefore: number): void {
         const evidence = move.judge.getEvidence();
-        if (evidence < doubtEvidence || evidence <= evidenceBefore) {
+        if (evidence < shadowEvidenceThreshold || evidence <= evidenceBefore) {
             return;
         }
         const now = this.clock.getMonotonicTime();
-        const isNew = move.doubtUntil <= now;
-        move.doubtUntil = now + doubtMilliseconds;
-        if (isNew) {
-            // The other nodes help to settle the doubt.
+        const isPeriodStart = move.shadowUntil <= now;
+        move.shadowUntil = now + shadowPeriodMilliseconds;
+        if (isPeriodStart) {
+            // The other nodes then send shadow requests too and add evidence.
             void this.notifier.sendUrgentDigest();
         }
     }
 
-    private takeBack(move: KnownMove, reason: MoveReason, detail: string): void {
-        move.takenBack = { reason, detail };
+    private recordRollback(move: TrackedMove, reason: MoveReason, detail: string): void {
+        move.rollback = { reason, detail };
         this.metrics.moveShare.set({ service: move.record.service }, 0);
-        this.logger.warn("new version gets no more traffic", { service: move.record.service, version: move.record.to, reason, detail });
+        this.logger.warn("stopped the traffic of the new version", {
+            service: move.record.service,
+            version: move.record.to,
+            reason,
+            detail,
+        });
     }
 
     private recordEnd(record: MoveRecord): void {
@@ -377,7 +382,7 @@
         this.listeners.forEach(listener => listener.handleMoveEnd(record));
     }
 
-    private openBaseline(service: string): LatencyBaseline {
+    private getOrCreateBaseline(service: string): LatencyBaseline {
         const existing = this.baselines.get(service);
         if (existing !== undefined) {
             return existing;
@@ -388,7 +393,7 @@
     }
 
     private recordBaseline(observation: VersionObservation): void {
-        const baseline = this.openBaseline(observation.service);
+        const baseline = this.getOrCreateBaseline(observation.service);
         if (observation.firstToken !== undefined) {
             baseline.recordTime(LatencyKind.FirstToken, observation.load, observation.firstToken);
         }
@@ -398,7 +403,7 @@
     }
 
     private createCounts(observation: VersionObservation): EvidenceCounts {
-        const baseline = this.openBaseline(observation.service);
+        const baseline = this.getOrCreateBaseline(observation.service);
         const { firstToken, betweenTokens, load } = observation;
         const isSlowFirst = firstToken === undefined ? undefined : baseline.isSlow(LatencyKind.FirstToken, load, firstToken);
         const isSlowGap = betweenTokens === undefined ? undefined : baseline.isSlow(LatencyKind.BetweenTokens, load, betweenTokens);
--- a/src/control/moves/moveOperations.ts
+++ b/src/control/moves/moveOperations.ts
@@ -11,7 +11,7 @@
 import { createMoveRecord } from "./moveDuty.js";
 import { createEndedRecord, MoveReason, MoveRecord, MoveState, parseMoveRecord } from "./moveRecord.js";
 
-/** Lets operators start and abort moves. Races are settled by conditional updates: one operator wins, the others are told. */
+/** Starts and aborts moves for operators. Writes are conditional: of concurrent operators one succeeds, the others get an error. */
 export class MoveOperations {
     private constructor(
         private readonly store: ObjectStore,
@@ -21,7 +21,7 @@
         private readonly margin: number,
     ) {}
 
-    /** The margin is the time before a deadline that a move needs at least, in milliseconds. */
+    /** The margin is the time before the deadline, in milliseconds, from which a move is rolled back; a start requires twice that. */
     static create(
         store: ObjectStore,
         objects: SharedObjects,
@@ -32,13 +32,13 @@
         return new MoveOperations(store, objects, configuration, clock, margin);
     }
 
-    /** Starts a move; the deadline is in Unix milliseconds. With replace, a running move is taken back in the same write. */
+    /** Starts a move; the deadline is in Unix milliseconds. With replacesRunning, the same write replaces the record of a running move. */
     async startMove(serviceName: string, to: string, deadline: number, replacesRunning: boolean): Promise<Result<MoveRecord, Failure>> {
         const service = this.configuration.findService(serviceName);
         if (service === undefined) {
             return Err(Failure.create(Verdict.NotRun, Diagnostics.Service_0_is_not_declared, serviceName));
         }
-        const reason = this.findObstacle(service.version, service.versions.map(version => version.name), to, deadline);
+        const reason = this.findStartObstacle(service.version, service.versions.map(version => version.name), to, deadline);
         if (reason !== undefined) {
             return Err(Failure.create(Verdict.NotRun, Diagnostics.Move_cannot_start_0, reason));
         }
@@ -55,7 +55,7 @@
         return this.writeRecord(current.val, record);
     }
 
-    /** Aborts the running move of a service. */
+    /** Rolls back the running move of a service. */
     async abortMove(serviceName: string): Promise<Result<MoveRecord, Failure>> {
         const current = await this.store.getObject(movePrefix + serviceName);
         if (current.err) {
@@ -78,7 +78,7 @@
         return this.writeRecord(current.val, ended);
     }
 
-    private findObstacle(from: string, versions: readonly string[], to: string, deadline: number): string | undefined {
+    private findStartObstacle(from: string, versions: readonly string[], to: string, deadline: number): string | undefined {
         if (!versions.includes(to)) {
             return `version '${to}' is not declared`;
         }
@@ -98,10 +98,10 @@
             this.objects.applyObject({ name, revision: written.val, value: record });
             return Ok(record);
         }
-        return this.settleFailedWrite(written.val, record);
+        return this.handleWriteFailure(written.val, record);
     }
 
-    private async settleFailedWrite(failure: WriteFailure, record: MoveRecord): Promise<Result<MoveRecord, Failure>> {
+    private async handleWriteFailure(failure: WriteFailure, record: MoveRecord): Promise<Result<MoveRecord, Failure>> {
         if (failure.outcome !== WriteOutcome.Unknown) {
             return Err(failure.failure);
         }
--- a/src/control/moves/moveRecord.ts
+++ b/src/control/moves/moveRecord.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { StoredObject } from "../../provider/types.js";
 
-/** How far a move has come. */
+/** State of a move; the values are stored. */
 export enum MoveState {
     Running = "running",
     /** The new version serves all traffic. */
@@ -10,20 +10,20 @@
     TakenBack = "taken-back",
 }
 
-/** Why a move was taken back, or why it stands where it does. */
+/** Reason of a move's latest step or of its end; the values are stored. */
 export enum MoveReason {
     Started = "started",
-    /** The evidence allowed a larger share. */
+    /** The evidence allowed a larger share or the completion. */
     Evidence = "evidence",
-    /** The new version fails more than the old one. */
+    /** The new version fails more often than the old one. */
     Failures = "failures",
-    /** The new version is slow to the first token or answer. */
+    /** The new version takes longer to the first token or response. */
     SlowFirstToken = "slow-first-token",
-    /** The new version is slow between tokens. */
+    /** The new version takes longer between tokens. */
     SlowTokens = "slow-between-tokens",
-    /** The new version's answers end early. */
+    /** Responses of the new version are truncated. */
     Incomplete = "incomplete-answers",
-    /** The deadline came before the move was completed. */
+    /** The move could not be completed before the deadline. */
     Deadline = "deadline",
     /** An operator aborted it. */
     Aborted = "aborted",
@@ -36,12 +36,12 @@
     at: z.number(),
     share: z.number(),
     reason: z.enum(MoveReason),
-    /** Attempts at the new version counted until then. */
+    /** Attempts at the new version counted up to this step. */
     trials: z.number().int(),
     failures: z.number().int(),
 });
 
-/** The shape of a move in the platform. */
+/** Schema of a move's record in the platform's store. */
 export const moveRecordSchema = z.object({
     id: z.string(),
     service: z.string(),
@@ -58,26 +58,26 @@
     ended_at: z.number().optional(),
     /** Fencing number of the lease under which the record was last written. */
     fencing: z.number().int().default(0),
-    /** Failure domains from which no node was heard after the end. */
+    /** Failure domains of which no reachable node has confirmed the end of the move. */
     unconfirmed_domains: z.array(z.string()).default([]),
     /** Whether the list of unconfirmed domains is final. */
     is_accounted: z.boolean().default(false),
 });
 export type MoveRecord = z.infer<typeof moveRecordSchema>;
 
-/** Parses a stored move; undefined when it cannot be read. */
+/** Parses a stored move; returns undefined when its value is invalid. */
 export function parseMoveRecord(object: StoredObject): MoveRecord | undefined {
     const parsed = moveRecordSchema.safeParse(object.value);
     return parsed.success ? parsed.data : undefined;
 }
 
-/** Returns a record with another share, and the step that explains it. */
+/** Returns a copy of the record with a new share and a step that records the evidence for it. */
 export function createShareStep(record: MoveRecord, share: number, at: number, trials: number, failures: number): MoveRecord {
     const step = { at, share, reason: MoveReason.Evidence, trials, failures };
     return { ...record, share, reason: MoveReason.Evidence, steps: [...record.steps, step] };
 }
 
-/** Returns the record of a move that ended. */
+/** Returns a copy of the record in a final state, with its last step. */
 export function createEndedRecord(
     record: MoveRecord,
     state: MoveState.Completed | MoveState.TakenBack,
--- a/src/control/moves/moveWebhook.ts
+++ b/src/control/moves/moveWebhook.ts
@@ -4,10 +4,10 @@
 import { MoveListener } from "./moveKeeper.js";
 import { MoveRecord } from "./moveRecord.js";
 
-const timeoutMilliseconds = 5_000;
+const requestTimeoutMilliseconds = 5_000;
 const retryLimit = 3;
 
-/** Tells a URL of the operators' choice when a move ends. Every node tells it; the record's id tells repeats apart. */
+/** Posts the end of each move to the operators' webhook URL. Every node posts it; receivers deduplicate by the record's id. */
 export class MoveWebhook implements MoveListener {
     private constructor(private readonly url: string, private readonly node: string, private readonly logger: Logger) {}
 
@@ -23,12 +23,12 @@
         try {
             await got.post(this.url, {
                 json: { event: "move-ended", node: this.node, move: record },
-                timeout: { request: timeoutMilliseconds },
+                timeout: { request: requestTimeoutMilliseconds },
                 retry: { limit: retryLimit, methods: ["POST"] },
             });
         }
         catch (error) {
-            this.logger.warn("webhook did not take the end of a move", { service: record.service, text: describeError(error) });
+            this.logger.warn("webhook request for the end of a move failed", { service: record.service, text: describeError(error) });
         }
     }
 }
--- a/src/control/moves/sequentialTest.ts
+++ b/src/control/moves/sequentialTest.ts
@@ -1,55 +1,55 @@
-/** Counts of trials and of bad ones among them. */
+/** Number of trials, and of the bad ones among them. */
 export interface TrialCounts {
     readonly trials: number;
     readonly bad: number;
 }
 
-/** Decides, trial by trial, whether a version is worse than another. */
+/** Sequential test that decides after each group of trials whether the new version is worse than the old one. */
 export interface SequentialTest {
-    /** Adds trials of the new version; the baseline is what the old version showed in the same window. */
+    /** Adds trials of the new version; the baseline holds the old version's counts of the same move. */
     addTrials(counts: TrialCounts, baseline: TrialCounts): void;
-    /** Says whether the evidence against the new version has reached the bound. */
+    /** Returns whether the evidence against the new version has reached the bound. */
     isBad(): boolean;
     /** Returns the evidence as a share of the bound, from 0 to 1. */
     getEvidence(): number;
 }
 
-/** What a test takes for granted of sound and of bad versions. */
+/** Rates of bad trials that a test assumes for a sound and for a bad version. */
 export interface TestRates {
-    /** Least share of bad trials that is assumed of a sound version. */
-    readonly leastBaseline: number;
-    /** By how much a bad version's share of bad trials is assumed to lie above the baseline. */
-    readonly badMargin: number;
+    /** Minimum rate assumed for a sound version. */
+    readonly minimumBaselineRate: number;
+    /** Amount by which a bad version's rate is assumed to exceed the baseline rate. */
+    readonly badRateMargin: number;
 }
 
-/** Share of bad trials that a baseline cannot exceed; above it nothing can be told apart. */
-const mostBaseline = 0.6;
-const mostBadRate = 0.95;
-/** Weight, in trials, of the least baseline against the observed one. */
+/** Upper limit of the baseline rate; above it a bad version can't be told from a sound one. */
+const maximumBaselineRate = 0.6;
+const maximumBadRate = 0.95;
+/** Weight of the minimum baseline rate against the observed rate, in trials. */
 const priorTrials = 20;
 
 /**
- * A cumulative sum test: a sequential probability ratio test that begins anew whenever the evidence
- * speaks for the version. So it keeps watching a version that goes bad later.
+ * Cumulative sum (CUSUM) test: a sequential probability ratio test whose sum is never below zero. Earlier good trials therefore
+ * don't delay the detection of a version that becomes bad later.
  */
 export class CumulativeSumTest implements SequentialTest {
     private sum = 0;
 
     private constructor(private readonly rates: TestRates, private readonly bound: number) {}
 
-    /** The bound is a logarithm of odds: the higher, the rarer a false alarm and the later a true one. */
+    /** The bound is a log-likelihood ratio: a higher one makes false alarms rarer and detection slower. */
     static create(rates: TestRates, bound: number): CumulativeSumTest {
         return new CumulativeSumTest(rates, bound);
     }
 
     addTrials(counts: TrialCounts, baseline: TrialCounts): void {
-        const sound = computeBaselineRate(baseline, this.rates);
-        const bad = Math.min(mostBadRate, sound + this.rates.badMargin);
-        const gain = Math.log(bad / sound);
-        const loss = Math.log((1 - bad) / (1 - sound));
-        // Good trials first: their order within one report is not known, and a sum that starts at zero forgives them.
-        this.sum = Math.max(0, this.sum + (counts.trials - counts.bad) * loss);
-        this.sum += counts.bad * gain;
+        const soundRate = computeBaselineRate(baseline, this.rates);
+        const bad = Math.min(maximumBadRate, soundRate + this.rates.badRateMargin);
+        const badTrialWeight = Math.log(bad / soundRate);
+        const goodTrialWeight = Math.log((1 - bad) / (1 - soundRate));
+        // Good trials are added first: the order within one report is unknown, and the sum does not go below zero.
+        this.sum = Math.max(0, this.sum + (counts.trials - counts.bad) * goodTrialWeight);
+        this.sum += counts.bad * badTrialWeight;
     }
 
     isBad(): boolean {
@@ -61,8 +61,8 @@
     }
 }
 
-/** Estimates a sound version's share of bad trials, from the old version and the least baseline. */
+/** Estimates the rate of bad trials of a sound version from the old version's counts and the minimum rate. */
 export function computeBaselineRate(baseline: TrialCounts, rates: TestRates): number {
-    const observed = (baseline.bad + rates.leastBaseline * priorTrials) / (baseline.trials + priorTrials);
-    return Math.min(mostBaseline, Math.max(rates.leastBaseline, observed));
+    const observed = (baseline.bad + rates.minimumBaselineRate * priorTrials) / (baseline.trials + priorTrials);
+    return Math.min(maximumBaselineRate, Math.max(rates.minimumBaselineRate, observed));
 }
--- a/src/control/moves/versionJudge.ts
+++ b/src/control/moves/versionJudge.ts
@@ -2,11 +2,11 @@
 import { MoveReason } from "./moveRecord.js";
 import { CumulativeSumTest, SequentialTest, TestRates, TrialCounts } from "./sequentialTest.js";
 
-/** Bound of the evidence, as a logarithm of odds, for all traffic together and for a single route. */
-const wholeBound = 8.5;
+/** Bounds of the evidence, as log-likelihood ratios, for all traffic together and for a single route. */
+const allTrafficBound = 8.5;
 const routeBound = 10;
 
-/** What is judged of a version. */
+/** A quality of a version that is tested: its reason for a rollback, the assumed rates and the counts it uses. */
 interface Measure {
     readonly reason: MoveReason;
     readonly rates: TestRates;
@@ -16,42 +16,45 @@
 const measures: readonly Measure[] = [
     {
         reason: MoveReason.Failures,
-        rates: { leastBaseline: 0.01, badMargin: 0.2 },
+        rates: { minimumBaselineRate: 0.01, badRateMargin: 0.2 },
         readCounts: counts => ({ trials: counts.trials, bad: counts.failures }),
     },
     {
         reason: MoveReason.SlowFirstToken,
-        rates: { leastBaseline: 0.08, badMargin: 0.4 },
+        rates: { minimumBaselineRate: 0.08, badRateMargin: 0.4 },
         readCounts: counts => ({ trials: counts.timed, bad: counts.slowFirstTokens }),
     },
     {
         reason: MoveReason.SlowTokens,
-        rates: { leastBaseline: 0.08, badMargin: 0.4 },
+        rates: { minimumBaselineRate: 0.08, badRateMargin: 0.4 },
         readCounts: counts => ({ trials: counts.timed, bad: counts.slowGaps }),
     },
     {
         reason: MoveReason.Incomplete,
-        rates: { leastBaseline: 0.02, badMargin: 0.2 },
+        rates: { minimumBaselineRate: 0.02, badRateMargin: 0.2 },
         readCounts: counts => ({ trials: counts.trials - counts.failures, bad: counts.incomplete }),
     },
 ];
 
-/** What the judge found. */
+/** The test that rejected the new version. */
 export interface JudgeFinding {
     readonly reason: MoveReason;
     /** Empty for all traffic together. */
     readonly route: string;
 }
 
-/** Creates the tests that a judge uses; benches compare others. */
+/** Creates the sequential tests of a judge; benchmarks substitute other tests. */
 export interface TestFactory {
     createTest(rates: TestRates, bound: number): SequentialTest;
 }
 
-/** Judges by cumulative sums. */
+/** Creates cumulative sum tests. */
 export const cumulativeSumFactory: TestFactory = { createTest: (rates, bound) => CumulativeSumTest.create(rates, bound) };
 
-/** Judges the new version of one move: on all traffic and on each route, by failures, times and whole answers. */
+/**
+ * Judges the new version of one move by failures, latencies and truncated responses, on all traffic and on each route. Routes are
+ * tested separately so that a fault on one route is found among the good results of the others.
+ */
 export class VersionJudge {
     private readonly tests = new Map<string, SequentialTest>();
     private finding: JudgeFinding | undefined;
@@ -59,31 +62,31 @@
     private constructor(
         private readonly evidence: MoveEvidence,
         private readonly oldVersion: string,
-        private readonly factory: TestFactory,
+        private readonly testFactory: TestFactory,
     ) {}
 
-    static create(evidence: MoveEvidence, oldVersion: string, factory: TestFactory = cumulativeSumFactory): VersionJudge {
-        return new VersionJudge(evidence, oldVersion, factory);
+    static create(evidence: MoveEvidence, oldVersion: string, testFactory: TestFactory = cumulativeSumFactory): VersionJudge {
+        return new VersionJudge(evidence, oldVersion, testFactory);
     }
 
-    /** Adds what a node counted of the new version on a route. */
+    /** Adds new counts of the new version on a route and updates the tests. */
     addCounts(route: string, added: EvidenceCounts): void {
         for (const measure of measures) {
             const counts = measure.readCounts(added);
             if (counts.trials <= 0) {
                 continue;
             }
-            this.addTrials(measure, "", wholeBound, counts, this.evidence.computeCounts(this.oldVersion));
+            this.addTrials(measure, "", allTrafficBound, counts, this.evidence.computeCounts(this.oldVersion));
             this.addTrials(measure, route, routeBound, counts, this.evidence.computeCounts(this.oldVersion, route));
         }
     }
 
-    /** Returns why the version is bad, or undefined. A finding stays. */
+    /** Returns the first finding against the new version, or undefined. A finding is never withdrawn. */
     getFinding(): JudgeFinding | undefined {
         return this.finding;
     }
 
-    /** Returns the strongest evidence against the version as a share of its bound. */
+    /** Returns the strongest evidence against the new version as a share of its bound, from 0 to 1. */
     getEvidence(): number {
         let strongest = 0;
         for (const test of this.tests.values()) {
@@ -96,7 +99,7 @@
         const key = `${measure.reason}/${route}`;
         let test = this.tests.get(key);
         if (test === undefined) {
-            test = this.factory.createTest(measure.rates, bound);
+            test = this.testFactory.createTest(measure.rates, bound);
             this.tests.set(key, test);
         }
         test.addTrials(counts, measure.readCounts(baseline));
--- a/src/control/queries/placement.ts
+++ b/src/control/queries/placement.ts
@@ -2,7 +2,7 @@
 import { ServiceKind } from "../../config/types.js";
 import { MoveRecord, MoveState } from "../moves/moveRecord.js";
 
-/** Returns the models that the endpoints of a group should serve: those in use, and both sides of running moves. */
+/** Returns the models that the endpoints of a group have to serve: those of the versions in use and of both versions of each move. */
 export function listDesiredModels(configuration: ConfigurationSet, moves: readonly MoveRecord[], group: string): string[] {
     const models = new Set<string>();
     for (const service of configuration.listServices().filter(candidate => candidate.kind === ServiceKind.Model)) {
@@ -21,6 +21,6 @@
     if (move === undefined || move.state === MoveState.TakenBack) {
         return [];
     }
-    // The old version stays warm until the configuration names the new one, so that taking back needs no load.
+    // The old version stays loaded until the configuration names the new one, so that a rollback loads no weights.
     return [move.from, move.to];
 }
--- a/src/control/sharedObjects.ts
+++ b/src/control/sharedObjects.ts
@@ -1,6 +1,6 @@
 import { StoredObject } from "../provider/types.js";
 
-/** What happened to an object that was offered to a node. */
+/** Result of applying an object; the refusals are values of a metric's label. */
 export enum SharedObjectChange {
     Applied = "applied",
     AlreadyInForce = "already-in-force",
@@ -8,14 +8,14 @@
     RefusedUnreadable = "unreadable",
 }
 
-/** Takes over the objects under a prefix. */
+/** Applies the objects whose names begin with a prefix. */
 export interface SharedObjectConsumer {
     readonly prefix: string;
-    /** Puts an object in force; returns false when it cannot be read. */
+    /** Applies an object; returns false when its value is invalid. */
     applyObject(object: StoredObject): boolean;
 }
 
-/** A node's copies of the shared objects. The revision of each only ever rises. */
+/** The node's copies of the shared objects. The revision of each object never decreases, so late or stale reads do no harm. */
 export class SharedObjects {
     private readonly objects = new Map<string, StoredObject>();
     private readonly consumers: SharedObjectConsumer[] = [];
@@ -33,7 +33,7 @@
         this.consumers.push(consumer);
     }
 
-    /** Puts an object in force unless a higher or equal revision of it is, or it cannot be read. */
+    /** Applies an object unless the node has an equal or higher revision, or the object's value is invalid. */
     applyObject(object: StoredObject): SharedObjectChange {
         const current = this.getRevision(object.name);
         if (object.revision < current) {
@@ -56,17 +56,17 @@
         return [...this.objects.values()];
     }
 
-    /** Returns the revision in force of an object, or 0. */
+    /** Returns the applied revision of an object, or 0 when there is none. */
     getRevision(name: string): number {
         return this.objects.get(name)?.revision ?? 0;
     }
 
-    /** Returns the sum of all revisions in force. Equal sums of nodes that differ are settled by the full lists. */
+    /** Returns the sum of all applied revisions. Nodes may differ and still have equal sums; the revisions in digests show that. */
     getChecksum(): bigint {
         return this.checksum;
     }
 
-    /** Returns the monotonic milliseconds of the last change. */
+    /** Returns the time of the last change in monotonic milliseconds, or -Infinity. */
     getChangeTime(): number {
         return this.changedAt;
     }
