--- a/src/versions/moveSchedule.ts
+++ b/src/versions/moveSchedule.ts
@@ -1,39 +1,39 @@
 import { millisecondsPerSecond } from "../common/units.js";
 import { MoveStage } from "./types.js";
 
-/** Time before the deadline at which a move is settled, in milliseconds: two rounds of the duty and a slow answer of the store. */
+/** Time before the deadline at which a move is completed or rolled back: two rounds of the duty and a slow response of the store. */
 export const settleMarginMilliseconds = 600;
-/** Time for which the old version ends its short requests, in milliseconds: most calls and short streams take less. */
-const shortRequestMilliseconds = 500;
-/** Time for which it ends its long streams, in milliseconds: a draft of some hundred tokens takes about that. */
-const longStreamMilliseconds = 3_000;
-/** Part of a move's time that is kept for the trial. */
-const leastTrialShare = 0.5;
-/** Part of the exposure still allowed that long streams may use; the rest covers requests that are under way. */
-const usableExposureShare = 0.8;
+/** Time for the old version to finish its short requests: most calls and short streams take less. */
+const shortRequestDrainMilliseconds = 500;
+/** Upper limit of the time for the old version to finish its long streams: a draft of some hundred tokens takes about that. */
+const longStreamDrainMilliseconds = 3_000;
+/** Fraction of a move's duration that is reserved for the trial stage. */
+const minimumTrialFraction = 0.5;
+/** Fraction of the remaining exposure that long streams may use; the rest covers requests that are running. */
+const longStreamExposureFraction = 0.8;
 
-/** How far a move has come. Times are in milliseconds. */
+/** Progress of a move. Times are in milliseconds. */
 export interface MoveProgress {
     readonly duration: number;
     readonly timeLeft: number;
-    /** Attempts at the service since the order, and those of them at the new version. */
+    /** Attempts at the service since the order, and how many of them were at the new version. */
     readonly attempts: number;
     readonly exposed: number;
-    /** Attempts of streams that cannot go on elsewhere. */
+    /** Attempts of streams that cannot be resumed at another endpoint. */
     readonly boundStreams: number;
 }
 
-/** The exposure of a bad version that operators accept. */
+/** Number of requests that a bad new version may receive: a share of all requests plus a constant. */
 export interface ExposureLimit {
     /** Share of a service's requests, from 0 to 1. */
     readonly share: number;
-    /** Requests beyond that share. */
+    /** Number of requests allowed in addition to the share. */
     readonly slack: number;
 }
 
 /**
- * Decides when requests leave the old version. It is late on purpose: a version that turns bad late has then met a small
- * part of the requests, and what the old endpoints still run when they stop is little.
+ * Computes when traffic moves from the old to the new version. It moves late on purpose: a new version that becomes bad late has then
+ * received few requests. The lead times leave the old endpoints time to finish theirs before they stop.
  */
 export class MoveSchedule {
     private constructor(private readonly limit: ExposureLimit) {}
@@ -42,24 +42,26 @@
         return new MoveSchedule(limit);
     }
 
-    /** Returns the stage in which a move is to be now while nothing speaks against the new version. */
+    /** Returns the stage that a move should be in now, provided that there is no finding against the new version. */
     computeStage(progress: MoveProgress): MoveStage {
-        const allAt = settleMarginMilliseconds + shortRequestMilliseconds;
-        if (progress.timeLeft <= allAt) {
+        const allStageLeadTime = settleMarginMilliseconds + shortRequestDrainMilliseconds;
+        if (progress.timeLeft <= allStageLeadTime) {
             return MoveStage.All;
         }
-        return progress.timeLeft <= allAt + this.computeLongStreamTime(progress, allAt) ? MoveStage.LongStreams : MoveStage.Trial;
+        return progress.timeLeft <= allStageLeadTime + this.computeLongStreamTime(progress, allStageLeadTime)
+            ? MoveStage.LongStreams
+            : MoveStage.Trial;
     }
 
-    /** Returns for how long long streams go to the new version before everything does. */
-    private computeLongStreamTime(progress: MoveProgress, allAt: number): number {
+    /** Returns how long before the stage All new long streams start at the new version only, within the exposure limit. */
+    private computeLongStreamTime(progress: MoveProgress, allStageLeadTime: number): number {
         const elapsed = Math.max(1, progress.duration - progress.timeLeft);
         const rate = progress.attempts / elapsed;
         const expected = progress.attempts + rate * progress.timeLeft;
-        const allowed = this.limit.share * expected + this.limit.slack - progress.exposed - rate * allAt;
+        const allowed = this.limit.share * expected + this.limit.slack - progress.exposed - rate * allStageLeadTime;
         const streamRate = progress.boundStreams / elapsed;
-        const affordable = streamRate === 0 ? longStreamMilliseconds : allowed * usableExposureShare / streamRate;
-        const longest = Math.min(longStreamMilliseconds, progress.duration * (1 - leastTrialShare));
+        const affordable = streamRate === 0 ? longStreamDrainMilliseconds : allowed * longStreamExposureFraction / streamRate;
+        const longest = Math.min(longStreamDrainMilliseconds, progress.duration * (1 - minimumTrialFraction));
         return Math.min(longest, Math.max(millisecondsPerSecond, affordable));
     }
 }
--- a/src/versions/types.ts
+++ b/src/versions/types.ts
@@ -2,21 +2,21 @@
 import { Result } from "../common/results.js";
 import { StoredObject, WriteFailure } from "../provider/types.js";
 
-/** How far the move of a service to another version has come. */
+/** Stage of a service's move to another version; the values are stored. */
 export enum MoveStage {
     /** The new version gets a small share of the requests. */
     Trial = "trial",
-    /** Streams that cannot go on elsewhere start at the new version only, so that none is left when the old one stops. */
+    /** Streams that cannot be resumed at another endpoint start at the new version only, so that none is running when the old one stops. */
     LongStreams = "long-streams",
-    /** Every new request goes to the new version; the old one ends what it runs. */
+    /** Every new request goes to the new version; the old one finishes its running requests. */
     All = "all",
-    /** The new version serves; the old endpoints stop. */
+    /** The new version serves all requests; the old endpoints stop. */
     Done = "done",
-    /** The old version serves; the new endpoints leave. */
+    /** The old version serves all requests; the new endpoints stop. */
     RolledBack = "rolled-back",
 }
 
-/** What an operator ordered: a service's requests are to be served by endpoints of another version. */
+/** An operator's order to move a service's traffic to endpoints of another version by a deadline. */
 export interface VersionMoveOrder {
     readonly service: string;
     readonly target: string;
@@ -24,7 +24,7 @@
     readonly duration: number;
 }
 
-/** What the product says of a move, for operators and for its own nodes. */
+/** Stored status of a move, written by the duty for operators and the other nodes. */
 export const moveAccountSchema = z.object({
     target: z.string(),
     stage: z.enum(MoveStage),
@@ -34,45 +34,45 @@
 });
 export type MoveAccount = z.infer<typeof moveAccountSchema>;
 
-/** An order with the account that was last written of it. */
+/** An order with its last written status; undefined before the first. */
 export interface DecodedMove {
     readonly order: VersionMoveOrder;
     readonly account: MoveAccount | undefined;
 }
 
-/** Reads orders from the form in which a deployment stores them. */
+/** Decodes move orders from the format in which a deployment stores them. */
 export interface VersionMoveDecoder {
-    /** Prefix of the objects that hold orders. */
+    /** Name prefix of the objects that hold orders. */
     readonly prefix: string;
     decodeMove(object: StoredObject): Result<DecodedMove, string>;
 }
 
-/** Writes accounts of moves where operators read them. */
+/** Writes the status of moves to the store, where operators read it. */
 export interface MoveAccountStore {
-    /** Replaces the account of an order that must still have a revision; returns the new revision. */
+    /** Replaces the status of an order if the store still has the object's revision; returns the new revision. */
     writeAccount(object: StoredObject, account: MoveAccount): Promise<Result<number, WriteFailure>>;
 }
 
-/** Which of the two versions of a move an endpoint has. */
+/** Whether evidence concerns the old or the new version of a move. */
 export enum VersionSide {
     Old = "old",
     New = "new",
 }
 
-/** What one attempt showed of an endpoint's version. */
+/** Result of one attempt, as evidence about the endpoint's version. */
 export interface VersionAttempt {
     readonly service: string;
     readonly route: string;
     readonly version: string;
-    /** Requests at the endpoint as a share of what it runs at the same time. */
+    /** Requests at the endpoint as a share of its concurrency limit. */
     readonly load: number;
-    /** Whether it answered without a failure. A lost connection shows nothing of the version: endpoints die on any. */
+    /** Whether the endpoint responded without a failure. A lost connection is no evidence, since endpoints crash with any version. */
     readonly hasSucceeded: boolean;
-    /** Time to the first event or the whole answer as a multiple of what was expected; undefined when it is not known. */
+    /** Time to the first event or the complete response as a multiple of the expected time; undefined when not measured. */
     readonly timeRatio: number | undefined;
 }
 
-/** Returns whether a move has ended. */
-export function isSettledStage(stage: MoveStage): boolean {
+/** Returns whether a move in this stage has ended. */
+export function isFinalStage(stage: MoveStage): boolean {
     return stage === MoveStage.Done || stage === MoveStage.RolledBack;
 }
--- a/src/versions/versionMovePath.test.ts
+++ b/src/versions/versionMovePath.test.ts
@@ -4,11 +4,11 @@
 import { RoutedWorker, WorkerFault } from "../standins/routed/routedWorker.js";
 import { RoutedGateway, waitUntil } from "../testing/routedGateway.js";
 
-/** Lookups that run beside a move at the same time. */
-const callersAtOnce = 4;
+/** Callers that send lookups in parallel during a move. */
+const concurrentCallers = 4;
 
 const platform = RoutedPlatform.create();
-const newer: RoutedWorker[] = [];
+const newWorkers: RoutedWorker[] = [];
 let gateway: RoutedGateway;
 
 before(async () => {
@@ -16,7 +16,7 @@
     for (const index of [1, 2]) {
         const worker = RoutedWorker.create(`i-newer-${index}`, routedNames.calls, "xela", false);
         worker.version = "v2";
-        newer.push(worker);
+        newWorkers.push(worker);
         await worker.start();
     }
     gateway = await RoutedGateway.start(platform);
@@ -25,7 +25,7 @@
 after(async () => {
     await gateway.stop();
     await platform.stop();
-    await Promise.all(newer.map(worker => worker.stop()));
+    await Promise.all(newWorkers.map(worker => worker.stop()));
 });
 
 interface OrderStatus {
@@ -38,11 +38,11 @@
     return platform.store.getObject("rollouts", routedNames.calls)?.status as OrderStatus | undefined;
 }
 
-/** Orders a move, starts the new endpoints and sends lookups until the move has ended; returns how many were sent. */
+/** Orders a move, publishes the new endpoints and sends lookups until the move has ended; returns the number of lookups. */
 async function runMove(target: string, seconds: number): Promise<number> {
     platform.store.putObject("rollouts", routedNames.calls, { service: routedNames.calls, target, "over-s": seconds });
     await waitUntil(() => readStatus()?.state === "running" && readStatus()?.target === target);
-    newer.forEach(worker => {
+    newWorkers.forEach(worker => {
         worker.version = target;
         platform.publishWorker(worker);
     });
@@ -54,28 +54,28 @@
             sent += 1;
         }
     };
-    await Promise.all(Array.from({ length: callersAtOnce }, sendLookups));
+    await Promise.all(Array.from({ length: concurrentCallers }, sendLookups));
     return sent;
 }
 
-test("a bad version is rolled back with its cause, and then gets nothing more", async () => {
-    newer.forEach(worker => worker.faults.push(...Array.from({ length: 10_000 }, () => WorkerFault.Fail)));
+test("a failing new version is rolled back within the exposure limit, its status names the cause, and it gets no further request", async () => {
+    newWorkers.forEach(worker => worker.faults.push(...Array.from({ length: 10_000 }, () => WorkerFault.Fail)));
     const sent = await runMove("v2", 60);
-    const exposed = newer.reduce((sum, worker) => sum + worker.runs.length, 0);
+    const attemptsAtNewVersion = newWorkers.reduce((sum, worker) => sum + worker.runs.length, 0);
     assert.equal(readStatus()?.state, "rolled_back");
     assert.match(readStatus()?.reason ?? "", /failures/);
-    assert.equal(exposed <= sent * 0.1 + 50, true, `${exposed} of ${sent}`);
+    assert.equal(attemptsAtNewVersion <= sent * 0.1 + 50, true, `${attemptsAtNewVersion} of ${sent}`);
     await gateway.sendCall("/lookup/2");
-    assert.equal(newer.reduce((sum, worker) => sum + worker.runs.length, 0), exposed);
+    assert.equal(newWorkers.reduce((sum, worker) => sum + worker.runs.length, 0), attemptsAtNewVersion);
 });
 
-test("a good version is done by the deadline and serves everything from then on", async () => {
-    newer.forEach(worker => worker.faults.splice(0));
+test("a move to a sound version is done by the deadline, and the new version then serves every request", async () => {
+    newWorkers.forEach(worker => worker.faults.splice(0));
     await runMove("v3", 4);
     assert.equal(readStatus()?.state, "done");
-    const before = newer.reduce((sum, worker) => sum + worker.runs.length, 0);
+    const before = newWorkers.reduce((sum, worker) => sum + worker.runs.length, 0);
     for (let call = 0; call < 5; call += 1) {
         assert.equal((await gateway.sendCall("/lookup/3")).status, 200);
     }
-    assert.equal(newer.reduce((sum, worker) => sum + worker.runs.length, 0), before + 5);
+    assert.equal(newWorkers.reduce((sum, worker) => sum + worker.runs.length, 0), before + 5);
 });
--- a/src/versions/versionMoves.test.ts
+++ b/src/versions/versionMoves.test.ts
@@ -39,11 +39,11 @@
     const all = createEndpoints();
     const counted = { newer: 0, older: 0, endpoints: new Set<string>() };
     for (let request = 0; request < 2_000; request += 1) {
-        const [first = []] = traffic.listGroups(query, all);
-        const isNew = first[0]?.entry.version === "v2";
+        const [firstGroup = []] = traffic.listGroups(query, all);
+        const isNew = firstGroup[0]?.entry.version === "v2";
         counted.newer += isNew ? 1 : 0;
         counted.older += isNew ? 0 : 1;
-        first.filter(() => isNew).forEach(endpoint => counted.endpoints.add(endpoint.entry.id));
+        firstGroup.filter(() => isNew).forEach(endpoint => counted.endpoints.add(endpoint.entry.id));
     }
     return counted;
 }
@@ -54,7 +54,7 @@
     }
 }
 
-test("a version on trial gets its share on few endpoints, and repeats stay with the old one", () => {
+test("in the trial stage the new version gets its share on few endpoints, and retries stay at the old version", () => {
     const { publish, traffic } = createMoves();
     assert.equal(countVersions(traffic, createPlacementQuery({})).newer, 0);
     publish();
@@ -65,7 +65,7 @@
     assert.equal(countVersions(traffic, createPlacementQuery({ tried: new Set([tried]) })).newer, 0);
 });
 
-test("streams that cannot go on elsewhere move first, then everything, and nothing after a move was taken back", () => {
+test("streams that cannot be resumed move first, then every request, and none after a move was rolled back", () => {
     const { publish, traffic } = createMoves();
     publish(MoveStage.LongStreams);
     assert.equal(countVersions(traffic, createPlacementQuery({ isBoundStream: true })).older, 0);
@@ -78,19 +78,19 @@
     assert.equal(countVersions(traffic, createPlacementQuery({})).older, 0);
 });
 
-test("a version that fails is given up by each node at once, also on what others counted", () => {
-    const seeing = createMoves("node-1");
-    const told = createMoves("node-2");
-    [seeing, told].forEach(({ publish }) => publish());
-    recordAttempts(seeing.moves, "v1", 200, index => index % 100 === 0);
-    recordAttempts(seeing.moves, "v2", 20, index => index % 3 === 0);
-    assert.equal(countVersions(seeing.traffic, createPlacementQuery({})).newer, 0);
-    seeing.moves.listRunning().forEach(move => assert.match(move.finding ?? "", /failures/));
-    seeing.moves.listEvidence(false).forEach(entry => told.moves.mergeEvidence(entry));
-    assert.equal(countVersions(told.traffic, createPlacementQuery({})).newer, 0);
+test("each node stops sending requests to a failing version at once, also on evidence that peers counted", () => {
+    const observer = createMoves("node-1");
+    const receiver = createMoves("node-2");
+    [observer, receiver].forEach(({ publish }) => publish());
+    recordAttempts(observer.moves, "v1", 200, index => index % 100 === 0);
+    recordAttempts(observer.moves, "v2", 20, index => index % 3 === 0);
+    assert.equal(countVersions(observer.traffic, createPlacementQuery({})).newer, 0);
+    observer.moves.listRunning().forEach(move => assert.match(move.finding ?? "", /failures/));
+    observer.moves.listEvidence(false).forEach(entry => receiver.moves.mergeEvidence(entry));
+    assert.equal(countVersions(receiver.traffic, createPlacementQuery({})).newer, 0);
 });
 
-test("a version that is several times slower in part is given up, one as fast as the old one is not", () => {
+test("a version that is several times slower on part of its requests is rejected, one as fast as the old version is not", () => {
     const { moves, publish } = createMoves();
     publish();
     recordAttempts(moves, "v1", 60, () => false);
@@ -103,7 +103,7 @@
     assert.match(moves.listRunning()[0]?.finding ?? "", /slow/);
 });
 
-test("an old account of another target says nothing of a new order", () => {
+test("the stored status of an earlier target is not applied to a new order", () => {
     const { moves, publish } = createMoves();
     publish(MoveStage.RolledBack);
     assert.equal(moves.listRunning().length, 0);
@@ -117,7 +117,7 @@
     assert.equal(move && moves.getStage(move), MoveStage.Trial);
 });
 
-test("requests leave the old version late, long streams first, and all before the deadline", () => {
+test("requests move to the new version late, long streams first, and all before the deadline", () => {
     const schedule = MoveSchedule.create({ share: 0.1, slack: 50 });
     const computeStage = (timeLeft: number) => {
         const elapsed = order.duration - timeLeft;
--- a/src/versions/versionMoves.ts
+++ b/src/versions/versionMoves.ts
@@ -6,34 +6,34 @@
 import { VersionJudge } from "../control/moves/versionJudge.js";
 import { ObjectHandler } from "../provider/objectFollower.js";
 import { ObjectList, StoredObject } from "../provider/types.js";
-import { isSettledStage, MoveAccount, MoveStage, VersionAttempt, VersionMoveDecoder, VersionMoveOrder, VersionSide } from "./types.js";
+import { isFinalStage, MoveAccount, MoveStage, VersionAttempt, VersionMoveDecoder, VersionMoveOrder, VersionSide } from "./types.js";
 
-/** Times are compared as percents of what was expected: whole numbers, as the baseline takes them. */
+/** Times are compared as percentages of the expected time: the baseline's constant margin needs numbers of that scale. */
 const percent = 100;
 
-/** What a node knows of one move. */
+/** State that a node keeps for one move. */
 export interface VersionMove {
     readonly order: VersionMoveOrder;
-    /** As the store last showed it. */
+    /** The stored object as last read or written. */
     object: StoredObject;
     account: MoveAccount | undefined;
-    /** Monotonic milliseconds of when this node first saw it. */
+    /** Monotonic milliseconds at which this node first read the order. */
     readonly seenAt: number;
     /** Unix milliseconds. */
     deadline: number;
-    /** Why this node holds the new version to be bad. */
+    /** Why this node rejected the new version, from local and peer evidence; undefined while there is no finding. */
     finding: string | undefined;
     readonly evidence: MoveEvidence;
     readonly judge: VersionJudge;
 }
 
-/** The life of a node that counted. */
+/** Name and incarnation of the node that counted the evidence. */
 export interface EvidenceNode {
     readonly name: string;
     readonly incarnation: number;
 }
 
-/** Counts of one route and version side, as they travel between nodes. */
+/** Counts of one route for the old or the new version, as exchanged between nodes. */
 export interface ToldEvidence {
     readonly service: string;
     readonly target: string;
@@ -43,7 +43,7 @@
     readonly node: EvidenceNode;
 }
 
-/** The moves that operators ordered, and what attempts show of both versions. */
+/** Follows the version moves that operators ordered, collects evidence about both versions, and stops a move at a finding against the new one. */
 export class VersionMoves implements ObjectHandler {
     private readonly moves = new Map<string, VersionMove>();
     private readonly baselines = new Map<string, LatencyBaseline>();
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Records an account that was written, or read from the store. */
+    /** Records a status that was written to or read from the store; undefined keeps the previous one. */
     recordAccount(move: VersionMove, object: StoredObject, account: MoveAccount | undefined): void {
         const before = this.getStage(move);
         move.object = object;
@@ -109,24 +109,24 @@
         return this.moves.get(service);
     }
 
-    /** Returns the moves that have neither been done nor rolled back. */
+    /** Returns the moves whose stored stage is not final. */
     listRunning(): VersionMove[] {
-        return [...this.moves.values()].filter(move => !isSettledStage(this.getAccountStage(move)));
+        return [...this.moves.values()].filter(move => !isFinalStage(this.getReportedStage(move)));
     }
 
-    /** Returns the stage that this node acts by: it stops at once when it finds the new version to be bad. */
+    /** Returns the stage that this node applies: the stored one, or RolledBack at once when this node has a finding. */
     getStage(move: VersionMove): MoveStage {
-        const stage = this.getAccountStage(move);
+        const stage = this.getReportedStage(move);
         return move.finding !== undefined && stage !== MoveStage.Done ? MoveStage.RolledBack : stage;
     }
 
-    /** Counts what an attempt showed. */
+    /** Adds an attempt to the evidence or to the latency baseline of the old version. */
     recordAttempt(attempt: VersionAttempt): void {
         const move = this.moves.get(attempt.service);
         const side = move?.order.target === attempt.version ? VersionSide.New : VersionSide.Old;
-        const baseline = this.openBaseline(`${attempt.service}\n${attempt.route}`);
+        const baseline = this.getOrCreateBaseline(`${attempt.service}\n${attempt.route}`);
         const time = attempt.timeRatio === undefined ? undefined : attempt.timeRatio * percent;
-        if (move !== undefined && !isSettledStage(this.getStage(move))) {
+        if (move !== undefined && !isFinalStage(this.getStage(move))) {
             const isSlow = time === undefined ? undefined : baseline.isSlow(LatencyKind.FirstToken, attempt.load, time);
             this.addEvidence(move, side, attempt, isSlow);
         }
@@ -135,10 +135,10 @@
         }
     }
 
-    /** Returns what was counted, by this node or also what it was told by others. */
-    listEvidence(hasOthers: boolean): ToldEvidence[] {
+    /** Returns the evidence about running moves: the local counts, and with includesPeers also those received from peers. */
+    listEvidence(includesPeers: boolean): ToldEvidence[] {
         return this.listRunning().flatMap(({ order, evidence }) =>
-            evidence.listEntries().filter(entry => hasOthers || entry.node === this.node.name).map(entry => ({
+            evidence.listEntries().filter(entry => includesPeers || entry.node === this.node.name).map(entry => ({
                 service: order.service,
                 target: order.target,
                 side: entry.version === VersionSide.New ? VersionSide.New : VersionSide.Old,
@@ -149,23 +149,23 @@
         );
     }
 
-    /** Takes what another node counted. */
-    mergeEvidence(told: ToldEvidence): void {
-        const { node } = told;
-        const move = this.moves.get(told.service);
-        if (move === undefined || move.order.target !== told.target || node.name === this.node.name) {
+    /** Merges evidence of a peer and judges the new version again. */
+    mergeEvidence(peerEvidence: ToldEvidence): void {
+        const { node } = peerEvidence;
+        const move = this.moves.get(peerEvidence.service);
+        if (move === undefined || move.order.target !== peerEvidence.target || node.name === this.node.name) {
             return;
         }
         const entry: EvidenceEntry = {
-            version: told.side,
-            route: told.route,
+            version: peerEvidence.side,
+            route: peerEvidence.route,
             node: node.name,
             incarnation: node.incarnation,
-            counts: { ...told.counts },
+            counts: { ...peerEvidence.counts },
         };
         const added = move.evidence.mergeEntry(entry);
-        if (told.side === VersionSide.New && added.trials > 0) {
-            this.judgeCounts(move, told.route, added);
+        if (peerEvidence.side === VersionSide.New && added.trials > 0) {
+            this.judgeCounts(move, peerEvidence.route, added);
         }
     }
 
@@ -174,7 +174,7 @@
         const move: VersionMove = {
             order,
             object,
-            // What is said of an earlier order says nothing of this one.
+            // The status of an earlier order with another target does not apply to this one.
             account: account?.target === order.target ? account : undefined,
             seenAt: this.clock.getMonotonicTime(),
             deadline: account?.target === order.target ? account.deadline : this.clock.getWallTime() + order.duration,
@@ -186,7 +186,7 @@
         this.logStage(move);
     }
 
-    private getAccountStage(move: VersionMove): MoveStage {
+    private getReportedStage(move: VersionMove): MoveStage {
         return move.account?.stage ?? MoveStage.Trial;
     }
 
@@ -199,7 +199,7 @@
             slowFirstTokens: isSlow === true ? 1 : 0,
         };
         const { name, incarnation } = this.node;
-        addCounts(move.evidence.openCounts({ version: side, route: attempt.route, node: name, incarnation }), added);
+        addCounts(move.evidence.getOrCreateCounts({ version: side, route: attempt.route, node: name, incarnation }), added);
         if (side === VersionSide.New) {
             this.judgeCounts(move, attempt.route, added);
         }
@@ -230,7 +230,7 @@
         });
     }
 
-    private openBaseline(key: string): LatencyBaseline {
+    private getOrCreateBaseline(key: string): LatencyBaseline {
         const known = this.baselines.get(key) ?? LatencyBaseline.create();
         this.baselines.set(key, known);
         return known;
--- a/src/versions/versionTraffic.ts
+++ b/src/versions/versionTraffic.ts
@@ -5,7 +5,7 @@
 import { MoveStage } from "./types.js";
 import { VersionMove, VersionMoves } from "./versionMoves.js";
 
-/** Decides which versions' endpoints may serve a request while its service is moved to another version. */
+/** Selects the endpoints that may serve a request by their version, while its service is moved to another version. */
 export class VersionTraffic implements EndpointTraffic {
     private constructor(
         private readonly moves: VersionMoves,
@@ -13,12 +13,12 @@
         private readonly trialShare: number,
     ) {}
 
-    /** The share of a service's requests that a new version gets on trial is from 0 to 1. */
+    /** The trial share, from 0 to 1, is the fraction of a service's requests that the new version gets in the trial stage. */
     static create(moves: VersionMoves, random: RandomSource, trialShare: number): VersionTraffic {
         return new VersionTraffic(moves, random, trialShare);
     }
 
-    /** Returns groups of endpoints in the order in which they are to be tried; others may not have the request. */
+    /** Returns groups of endpoints in order of preference; endpoints in no group must not get the request. */
     listGroups(query: PlacementQuery, endpoints: readonly FleetEndpoint[]): (readonly FleetEndpoint[])[] {
         const move = this.moves.findMove(query.service);
         if (move === undefined) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Returns the endpoints that carry a service: not those on trial, nor those that a move has made needless. */
+    /** Returns the endpoints that count as a service's capacity: the old version's, or the new version's once the move is done. */
     listCarrying(service: string, endpoints: readonly FleetEndpoint[]): readonly FleetEndpoint[] {
         const move = this.moves.findMove(service);
         if (move === undefined) {
@@ -48,18 +48,18 @@
         return this.moves.getStage(move) === MoveStage.Done ? newer : older;
     }
 
-    /** Whether a service is between two versions. */
+    /** Returns whether a service has a running move. */
     isMoving(service: string): boolean {
         return this.moves.listRunning().some(move => move.order.service === service);
     }
 
-    /** A repeat has met one fault already and is not exposed to a version that may be another. */
+    /** Returns the groups of the trial stage. Retries stay at the old version: after one fault they must not risk another. */
     private listTrialGroups(query: PlacementQuery, newer: FleetEndpoint[], older: FleetEndpoint[]): FleetEndpoint[][] {
         const isTrial = query.tried.size === 0 && newer.length > 0 && this.random.pickFraction() < this.trialShare;
         return isTrial ? [this.pickTrialEndpoints(newer), older] : [older];
     }
 
-    /** Picks as few new endpoints as make the load of each one usual: some faults show under load only. */
+    /** Picks so few new endpoints that each gets the usual load, since some faults appear only under load. */
     private pickTrialEndpoints(newer: readonly FleetEndpoint[]): FleetEndpoint[] {
         const sorted = [...newer].sort((left, right) => (left.entry.id < right.entry.id ? -1 : 1));
         return sorted.slice(0, Math.ceil(newer.length * this.trialShare));
