--- a/src/peers/connectPeerLink.ts
+++ b/src/peers/connectPeerLink.ts
@@ -22,11 +22,12 @@
     PeerResult,
 } from "./types.js";
 
-/** Time limit of a short call between nodes, in milliseconds. */
-const shortCallMilliseconds = 1_500;
-/** Time limit of taking over a request, in milliseconds. */
-const adoptCallMilliseconds = 3_000;
-/** Calls peers over Connect on HTTP/2, with mutual TLS when certificates are set. */
+/** Time limit of all other calls except followRequest and forwardCall. */
+const shortCallTimeoutMilliseconds = 1_500;
+/** Time limit of the call by which a peer adopts a request. */
+const adoptCallTimeoutMilliseconds = 3_000;
+
+/** Client of the peer service: calls peers over Connect on HTTP/2, with mutual TLS when certificates are configured. */
 export class ConnectPeerLink implements PeerLink {
     private constructor(private readonly sessions: PeerSessions<typeof PeerService>, private readonly metrics: Metrics) {}
 
@@ -39,15 +40,18 @@
     }
 
     async exchangeDigests(address: NetworkAddress, digest: NodeDigestInit): Promise<PeerResult<NodeDigest>> {
-        const answer = await this.sessions.send(address, client => client.exchange({ digest }, { timeoutMs: shortCallMilliseconds }));
-        this.metrics.peerExchanges.inc({ outcome: answer.ok ? "ok" : "failed" });
-        if (answer.err) {
-            return answer;
+        const response = await this.sessions.send(
+            address,
+            client => client.exchange({ digest }, { timeoutMs: shortCallTimeoutMilliseconds }),
+        );
+        this.metrics.peerExchanges.inc({ outcome: response.ok ? "ok" : "failed" });
+        if (response.err) {
+            return response;
         }
-        if (answer.val.digest === undefined) {
+        if (response.val.digest === undefined) {
             return Err(Failure.create(Verdict.MayHaveRun, Diagnostics.Node_at_0_did_not_answer_1, formatAddress(address), "no digest"));
         }
-        return Ok(answer.val.digest);
+        return Ok(response.val.digest);
     }
 
     async fetchSharedObjects(
@@ -56,13 +60,16 @@
     ): Promise<PeerResult<FetchSharedObjectsResponse>> {
         return this.sessions.send(
             address,
-            client => client.fetchSharedObjects({ known: [...known] }, { timeoutMs: shortCallMilliseconds }),
+            client => client.fetchSharedObjects({ known: [...known] }, { timeoutMs: shortCallTimeoutMilliseconds }),
         );
     }
 
     async adoptRequest(address: NetworkAddress, request: AdoptRequestInit): Promise<PeerResult<boolean>> {
-        const answer = await this.sessions.send(address, client => client.adoptRequest(request, { timeoutMs: adoptCallMilliseconds }));
-        return answer.map(response => response.accepted);
+        const result = await this.sessions.send(
+            address,
+            client => client.adoptRequest(request, { timeoutMs: adoptCallTimeoutMilliseconds }),
+        );
+        return result.map(response => response.accepted);
     }
 
     async *followRequest(
@@ -80,7 +87,7 @@
     }
 
     async describeRequest(address: NetworkAddress, requestId: string): Promise<PeerResult<ExplainRequestResponse>> {
-        return this.sessions.send(address, client => client.explainRequest({ requestId }, { timeoutMs: shortCallMilliseconds }));
+        return this.sessions.send(address, client => client.explainRequest({ requestId }, { timeoutMs: shortCallTimeoutMilliseconds }));
     }
 
     stop(): void {
--- a/src/peers/exchangeLoop.ts
+++ b/src/peers/exchangeLoop.ts
@@ -3,18 +3,18 @@
 import { MemberDirectory } from "./memberDirectory.js";
 import { DigestExchange, Member, PeerLink, UrgentNotifier } from "./types.js";
 
-/** Members of the own failure domain that a node talks to in turn. */
+/** Members of its own failure domain with which a node exchanges digests in each round. */
 const domainPartnersPerRound = 1;
-/** Nodes of a failure domain that exchange with other domains. */
+/** Nodes of a failure domain that exchange digests with other domains. */
 export const bridgesPerDomain = 2;
-/** Share by which the time between two rounds varies, so that nodes do not fall into step. */
-const jitterShare = 0.4;
-/** Members told at once of an urgent change. */
+/** Width of the random variation of the interval, as a fraction of it, so that nodes don't synchronize their rounds. */
+const jitterFraction = 0.4;
+/** Upper limit of members of the failure domain that get an urgent digest directly. */
 const urgentPartnerLimit = 12;
-/** Longest wait for an urgent change to be known, in milliseconds. */
+/** Longest time that a sender of an urgent digest waits for the peers' responses. */
 const urgentWaitMilliseconds = 300;
 
-/** Exchanges digests with a few peers in every round, and with all nearby ones when something is urgent. */
+/** Gossip loop: exchanges digests with a few random peers in every round, and at once with many peers after an urgent change. */
 export class ExchangeLoop implements UrgentNotifier {
     private readonly stopping = new AbortController();
 
@@ -44,10 +44,10 @@
         while (!this.stopping.signal.aborted) {
             const partners = [...this.pickDomainPartners(), ...this.pickBridgePartners()];
             for (const partner of partners) {
-                // A silent partner must not hold up the others.
+                // Not awaited: an unresponsive peer must not delay the others.
                 void this.exchangeWith(partner);
             }
-            const variation = 1 + jitterShare * (this.random.pickFraction() - 0.5);
+            const variation = 1 + jitterFraction * (this.random.pickFraction() - 0.5);
             await this.clock.sleep(this.interval * variation, this.stopping.signal);
         }
     }
@@ -57,25 +57,25 @@
     }
 
     async sendUrgentDigest(): Promise<void> {
-        const domain = this.directory.listLiveDomainMembers().slice(0, urgentPartnerLimit);
-        const others = this.directory.listOtherDomains().flatMap(name => this.listLiveMembers(name).slice(0, 1));
-        const sent = Promise.allSettled([...domain, ...others].map(member => this.exchangeWith(member)));
+        const domainPeers = this.directory.listLiveDomainMembers().slice(0, urgentPartnerLimit);
+        const otherDomainPeers = this.directory.listOtherDomains().flatMap(name => this.listReachableMembers(name).slice(0, 1));
+        const sent = Promise.allSettled([...domainPeers, ...otherDomainPeers].map(member => this.exchangeWith(member)));
         await Promise.race([sent, this.clock.sleep(urgentWaitMilliseconds, this.stopping.signal)]);
     }
 
-    /** Exchanges digests with one member. */
+    /** Exchanges digests with one member; returns false when the exchange failed. */
     async exchangeWith(member: Member): Promise<boolean> {
-        const answer = await this.link.exchangeDigests(member.address, this.digests.createDigest());
-        if (answer.err || this.stopping.signal.aborted) {
+        const response = await this.link.exchangeDigests(member.address, this.digests.createDigest());
+        if (response.err || this.stopping.signal.aborted) {
             return false;
         }
-        if (this.digests.applyDigest(answer.val)) {
+        if (this.digests.applyDigest(response.val)) {
             void this.sendUrgentDigest();
         }
         return true;
     }
 
-    private listLiveMembers(failureDomain: string): Member[] {
+    private listReachableMembers(failureDomain: string): Member[] {
         return this.directory.listMembers().filter(member => member.failureDomain === failureDomain && this.directory.isAlive(member));
     }
 
@@ -101,10 +101,10 @@
         return [members[this.random.pickIndex(members.length)] as Member];
     }
 
-    /** The live nodes of a domain with the lowest names speak for it. */
+    /** Returns whether this node exchanges digests with other domains: the reachable nodes with the lowest names do. */
     private isBridge(): boolean {
         const names = this.directory.listLiveDomainMembers().map(member => member.name);
-        const before = names.filter(name => name < this.directory.identity.name);
-        return before.length < bridgesPerDomain;
+        const lowerNames = names.filter(name => name < this.directory.identity.name);
+        return lowerNames.length < bridgesPerDomain;
     }
 }
--- a/src/peers/memberDirectory.ts
+++ b/src/peers/memberDirectory.ts
@@ -3,7 +3,7 @@
 import { NetworkAddress } from "../config/types.js";
 import { Member } from "./types.js";
 
-/** Who this node is. */
+/** Identity of this node; the incarnation distinguishes it from its process before a restart. */
 export interface NodeIdentity {
     readonly name: string;
     readonly failureDomain: string;
@@ -12,7 +12,7 @@
     readonly incarnation: number;
 }
 
-/** A node as the settings or the host list name it. */
+/** Entry of a node in the settings or the host list. */
 export interface MemberSource {
     readonly name: string;
     readonly failureDomain: string;
@@ -20,10 +20,10 @@
     readonly address: NetworkAddress;
 }
 
-/** Time without news after which a member counts as lost, in multiples of the silence limit. */
-const lostFactor = 3;
+/** Time without a heartbeat after which a member is considered unreachable, in multiples of the silence limit. */
+const reachabilityTimeoutFactor = 3;
 
-/** The other nodes: where they are, when they were last heard of, and which life of theirs it was. */
+/** Table of the other nodes: their addresses, incarnations and the times of their last heartbeats. Determines which are reachable. */
 export class MemberDirectory {
     private readonly members = new Map<string, Member>();
 
@@ -59,12 +59,15 @@
         });
     }
 
-    /** Removes a node that neither the settings nor the host list names any more. */
+    /** Removes a node that is listed neither in the settings nor in the host list. */
     removeMember(name: string): void {
         this.members.delete(name);
     }
 
-    /** Records news of a member; the age is in milliseconds. News of an earlier life is dropped. */
+    /**
+     * Records a heartbeat of a member, received directly or relayed; the age is in milliseconds. Returns false and records nothing when
+     * the member is unknown or the heartbeat is of an earlier incarnation.
+     */
     recordBeat(name: string, incarnation: number, age: number, isLeaving: boolean): boolean {
         const member = this.members.get(name);
         if (member === undefined || incarnation < member.incarnation) {
@@ -72,7 +75,7 @@
         }
         if (incarnation > member.incarnation) {
             if (member.incarnation !== 0) {
-                this.logger.info("peer was replaced", { peer: name, incarnation });
+                this.logger.info("peer was restarted", { peer: name, incarnation });
             }
             member.incarnation = incarnation;
             member.isLeaving = isLeaving;
@@ -95,12 +98,12 @@
         return this.listMembers().filter(member => member.failureDomain === this.identity.failureDomain);
     }
 
-    /** Says whether a member was heard of lately. */
+    /** Returns whether a heartbeat of a member was received recently enough to consider it reachable. */
     isAlive(member: Member): boolean {
-        return this.clock.getMonotonicTime() - member.lastHeardAt < this.silenceLimit * lostFactor;
+        return this.clock.getMonotonicTime() - member.lastHeardAt < this.silenceLimit * reachabilityTimeoutFactor;
     }
 
-    /** Returns the members of this failure domain that are alive and staying. */
+    /** Returns the reachable members of this node's failure domain that are not leaving. */
     listLiveDomainMembers(): Member[] {
         return this.listDomainMembers().filter(member => this.isAlive(member) && !member.isLeaving);
     }
--- a/src/peers/peerServer.ts
+++ b/src/peers/peerServer.ts
@@ -8,7 +8,7 @@
 import { TlsMaterial } from "./tlsMaterial.js";
 import { PeerHandler } from "./types.js";
 
-/** Answers the calls of peers. With certificates set, a peer without a valid one is refused. */
+/** HTTP/2 server for calls of peers. When certificates are configured, a peer without a valid certificate is rejected. */
 export class PeerServer {
     private readonly server: Http2Server | Http2SecureServer;
     private readonly sockets = new Set<Socket>();
@@ -36,17 +36,17 @@
         return new PeerServer(router => addRoutes(router, handler), tls);
     }
 
-    /** Creates a server for another service between nodes. */
+    /** Creates a server for another service used between nodes. */
     static createForRoutes(routes: (router: ConnectRouter) => void, tls: TlsMaterial | undefined): PeerServer {
         return new PeerServer(routes, tls);
     }
 
-    /** Starts listening; returns the address, whose port is a free one when 0 was asked for. */
+    /** Starts listening; returns the bound address, with the port chosen by the operating system when port 0 was given. */
     async start(address: NetworkAddress): Promise<NetworkAddress> {
         return startListening(this.server, address);
     }
 
-    /** Returns the bytes received and sent so far, on open connections and on closed ones. */
+    /** Returns the number of bytes received and sent so far, on open and on closed connections. */
     countBytes(): number {
         let bytes = this.closedBytes;
         for (const socket of this.sockets) {
@@ -55,7 +55,7 @@
         return bytes;
     }
 
-    /** Stops listening and ends every connection. */
+    /** Stops listening and destroys every session. */
     async stop(): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         for (const session of this.sessions) {
--- a/src/peers/peerSessions.ts
+++ b/src/peers/peerSessions.ts
@@ -11,13 +11,13 @@
 import { NetworkAddress } from "../config/types.js";
 import { TlsMaterial } from "./tlsMaterial.js";
 
-/** Time between two pings on a connection with open calls, in milliseconds. */
+/** Interval of the HTTP/2 pings on a connection with open calls. */
 const pingIntervalMilliseconds = 1_000;
 const pingTimeoutMilliseconds = 1_000;
-/** Time after which an unused connection is closed, in milliseconds. */
+/** Time after which an unused connection is closed. */
 const idleConnectionMilliseconds = 10_000;
 
-/** The part of the session manager's state that holds its session. */
+/** Internal state of Http2SessionManager that holds its HTTP/2 session; the package does not export it. */
 interface SessionManagerState {
     readonly s: { readonly conn?: unknown; };
 }
@@ -27,16 +27,16 @@
     readonly sessions: Http2SessionManager;
 }
 
-/** Hears what happens to sessions, for metrics. */
+/** Is notified of unresponsive peers and session errors; writes metrics. */
 export interface SessionObserver {
     recordSilence(): void;
     recordSessionError(): void;
 }
 
-/** Sessions to peers over Connect on HTTP/2, one for each peer, with mutual TLS when certificates are set. */
+/** Keeps one HTTP/2 session per peer for calls over Connect, with mutual TLS when certificates are configured. */
 export class PeerSessions<S extends DescService> {
     private readonly peers = new Map<string, OpenPeer<S>>();
-    private readonly guardedSessions = new WeakSet<EventEmitter>();
+    private readonly observedSessions = new WeakSet<EventEmitter>();
 
     private constructor(
         private readonly service: S,
@@ -50,7 +50,7 @@
         return new PeerSessions(service, tls, observer);
     }
 
-    /** Makes one call; a connection that gave no answer is not used again. */
+    /** Makes one call. After a timeout or connection failure the session is aborted, and the next call opens a new one. */
     async send<T>(address: NetworkAddress, call: (client: Client<S>) => Promise<T>): Promise<Result<T, Failure>> {
         const peer = this.openPeer(address);
         try {
@@ -60,7 +60,7 @@
         catch (error) {
             const connectError = ConnectError.from(error);
             if (connectError.code === Code.DeadlineExceeded || connectError.code === Code.Unavailable) {
-                // It may be silent for good.
+                // The connection may never deliver anything again without being closed.
                 this.observer.recordSilence();
                 peer.sessions.abort();
                 this.peers.delete(formatAddress(address));
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Returns a client whose session is open. */
+    /** Returns a client after its session has been opened; throws when that fails. */
     async openClient(address: NetworkAddress): Promise<Client<S>> {
         const peer = this.openPeer(address);
         await this.connect(peer);
@@ -85,7 +85,7 @@
 
     private async connect(peer: OpenPeer<S>): Promise<void> {
         await peer.sessions.connect();
-        this.guardSession(peer.sessions);
+        this.handleSessionErrors(peer.sessions);
     }
 
     private openPeer(address: NetworkAddress): OpenPeer<S> {
@@ -102,7 +102,7 @@
             pingTimeoutMs: pingTimeoutMilliseconds,
             idleConnectionTimeoutMs: idleConnectionMilliseconds,
         }, options);
-        // Within a region bytes cost less than the processor time to compress them.
+        // Within a region, network traffic costs less than the processor time for compression.
         const transport: Transport = createConnectTransport({ httpVersion: "2", baseUrl, sessionManager: sessions, acceptCompression: [] });
         const peer: OpenPeer<S> = { client: createClient(this.service, transport), sessions };
         this.peers.set(key, peer);
@@ -110,13 +110,13 @@
     }
 
     /**
-     * Keeps the errors of a session from ending the process. When a peer says that it goes away, the session manager
-     * destroys its idle session with an error, at times after it has removed its own listener.
+     * Prevents errors of a session from crashing the process. When a peer sends GOAWAY, the session manager destroys its idle
+     * session with an error, sometimes after it has removed its own error listener.
      */
-    private guardSession(sessions: Http2SessionManager): void {
+    private handleSessionErrors(sessions: Http2SessionManager): void {
         const state = (sessions as unknown as SessionManagerState).s;
-        if (state.conn instanceof EventEmitter && !this.guardedSessions.has(state.conn)) {
-            this.guardedSessions.add(state.conn);
+        if (state.conn instanceof EventEmitter && !this.observedSessions.has(state.conn)) {
+            this.observedSessions.add(state.conn);
             state.conn.on("error", () => this.observer.recordSessionError());
         }
     }
@@ -125,7 +125,7 @@
 function createClientOptions(options: SecureContextOptions) {
     return {
         ...options,
-        // Every holder of a certificate of the authority is a node; hosts change their addresses too often to name them.
+        // Every certificate of the authority belongs to a node; certificates don't name hosts, whose addresses change too often.
         checkServerIdentity: () => undefined,
     };
 }
--- a/src/peers/peerSilence.test.ts
+++ b/src/peers/peerSilence.test.ts
@@ -8,16 +8,16 @@
 import { PeerServer } from "./peerServer.js";
 import { PeerHandler } from "./types.js";
 
-/** Stated bound for connections that carry no stream of a lookup: noticed within 5 s. */
-const noticeLimitMilliseconds = 5_000;
+/** Required bound for connections without a lookup's stream: an unresponsive connection is detected within 5 s. */
+const detectionLimitMilliseconds = 5_000;
 
-test("a connection to a peer that goes silent for good is noticed, and the next call goes over a new one", async () => {
+test("a connection to a peer that stops delivering without being closed is detected in time, and the next call opens a new one", async () => {
     const handler = { describeRequest: () => "{}" } as unknown as PeerHandler;
     const server = PeerServer.create(handler, undefined);
     const target = await server.start({ host: "127.0.0.1", port: 0 });
-    // Stands for whatever lies between two hosts and loses track of a connection: it forwards nothing more, and closes nothing.
+    // Stands in for a NAT or firewall that loses a connection's state: it stops forwarding and closes neither side.
     const pairs: { left: Socket; right: Socket; }[] = [];
-    const between = createServer(left => {
+    const proxy = createServer(left => {
         const right = connect(target.port, target.host);
         left.on("error", () => {});
         right.on("error", () => {});
@@ -25,8 +25,8 @@
         right.pipe(left);
         pairs.push({ left, right });
     });
-    await new Promise<void>(resolve => between.listen(0, "127.0.0.1", resolve));
-    const address = { host: "127.0.0.1", port: (between.address() as AddressInfo).port };
+    await new Promise<void>(resolve => proxy.listen(0, "127.0.0.1", resolve));
+    const address = { host: "127.0.0.1", port: (proxy.address() as AddressInfo).port };
     const link = ConnectPeerLink.create(undefined, Metrics.create());
     assert.equal((await link.describeRequest(address, "x")).ok, true);
     for (const { left, right } of pairs) {
@@ -36,18 +36,18 @@
         right.resume();
     }
     const startedAt = performance.now();
-    const lost = await link.describeRequest(address, "x");
-    const took = performance.now() - startedAt;
-    const next = await link.describeRequest(address, "x");
-    assert.equal(lost.ok, false);
-    assert.ok(took < noticeLimitMilliseconds, `${took} ms`);
-    assert.equal(next.ok, true, "a new connection works");
+    const silentResult = await link.describeRequest(address, "x");
+    const elapsed = performance.now() - startedAt;
+    const nextResult = await link.describeRequest(address, "x");
+    assert.equal(silentResult.ok, false);
+    assert.ok(elapsed < detectionLimitMilliseconds, `${elapsed} ms`);
+    assert.equal(nextResult.ok, true, "a new connection works");
     assert.equal(pairs.length, 2);
     link.stop();
     pairs.forEach(({ left, right }) => {
         left.destroy();
         right.destroy();
     });
-    between.close();
+    proxy.close();
     await server.stop();
 });
--- a/src/peers/peerTls.test.ts
+++ b/src/peers/peerTls.test.ts
@@ -29,10 +29,10 @@
     return settings;
 }
 
-test("nodes with certificates of one authority talk; a node without a valid one is refused; new certificates need no restart", async () => {
+test("peers of one certificate authority connect, a peer without a valid certificate is rejected, and renewed certificates apply without a restart", async () => {
     const now = Date.now();
     const authority = createAuthority("site", 10, now);
-    const stranger = createAuthority("stranger", 10, now);
+    const foreignAuthority = createAuthority("stranger", 10, now);
     const serverSettings = writeKeys("server", authority, createNodeCertificate(authority, "server", 5, now));
     const serverTls = TlsMaterial.create(serverSettings, createSilentLogger());
     const server = PeerServer.create(handler, serverTls);
@@ -42,28 +42,28 @@
         const material = TlsMaterial.create(settings, createSilentLogger());
         return { material, settings, link: ConnectPeerLink.create(material, Metrics.create()) };
     };
-    const known = openLink("known", authority);
-    const unknown = openLink("unknown", stranger);
-    const plain = ConnectPeerLink.create(undefined, Metrics.create());
-    assert.equal((await known.link.describeRequest(address, "x")).ok, true);
-    assert.equal((await unknown.link.describeRequest(address, "x")).ok, false, "a certificate of another authority");
-    assert.equal((await plain.describeRequest(address, "x")).ok, false, "no certificate");
+    const trusted = openLink("known", authority);
+    const untrusted = openLink("unknown", foreignAuthority);
+    const plaintextLink = ConnectPeerLink.create(undefined, Metrics.create());
+    assert.equal((await trusted.link.describeRequest(address, "x")).ok, true);
+    assert.equal((await untrusted.link.describeRequest(address, "x")).ok, false, "a certificate of another authority");
+    assert.equal((await plaintextLink.describeRequest(address, "x")).ok, false, "no certificate");
 
-    // The site changes its authority: both ends read their files again, and the old certificate is refused from then on.
+    // The site replaces its authority: both sides reload their files, and certificates of the old authority are rejected from then on.
     const renewed = createAuthority("site-2", 10, now);
     writeKeys("server", renewed, createNodeCertificate(renewed, "server", 5, now));
     const later = new Date(now + 60_000);
     Object.values(serverSettings).forEach(file => utimesSync(file, later, later));
     serverTls.checkFiles();
-    known.link.stop();
-    assert.equal((await known.link.describeRequest(address, "x")).ok, false, "the old authority is not trusted any more");
+    trusted.link.stop();
+    assert.equal((await trusted.link.describeRequest(address, "x")).ok, false, "the old authority is not trusted any more");
     writeKeys("known", renewed, createNodeCertificate(renewed, "known", 5, now));
-    Object.values(known.settings).forEach(file => utimesSync(file, later, later));
-    known.material.checkFiles();
-    assert.equal((await known.link.describeRequest(address, "x")).ok, true, "the new certificate is in use without a restart");
-    known.link.stop();
-    unknown.link.stop();
-    plain.stop();
-    [serverTls, known.material, unknown.material].forEach(material => material.stop());
+    Object.values(trusted.settings).forEach(file => utimesSync(file, later, later));
+    trusted.material.checkFiles();
+    assert.equal((await trusted.link.describeRequest(address, "x")).ok, true, "the new certificate is in use without a restart");
+    trusted.link.stop();
+    untrusted.link.stop();
+    plaintextLink.stop();
+    [serverTls, trusted.material, untrusted.material].forEach(material => material.stop());
     await server.stop();
 });
--- a/src/peers/tlsMaterial.ts
+++ b/src/peers/tlsMaterial.ts
@@ -4,10 +4,10 @@
 import { Logger } from "../common/logging.js";
 import { TlsSettings } from "../config/types.js";
 
-/** Time between two looks at the certificate files, in milliseconds. */
+/** Interval of the check whether the certificate files have changed. */
 const checkIntervalMilliseconds = 2_000;
 
-/** Certificates for the connections between nodes, read again when their files change. */
+/** Certificates for the connections between nodes. Reloads them when their files change, so that a renewal needs no restart. */
 export class TlsMaterial {
     private readonly listeners = new Set<(options: SecureContextOptions) => void>();
     private readonly timer: NodeJS.Timeout;
@@ -21,7 +21,7 @@
         this.timer = setInterval(() => this.checkFiles(), checkIntervalMilliseconds).unref();
     }
 
-    /** Throws when a file cannot be read; the settings check has seen that the files exist. */
+    /** Throws when a file cannot be read; the validation of the settings has checked that the files exist. */
     static create(settings: TlsSettings, logger: Logger): TlsMaterial {
         return new TlsMaterial(settings, logger, readOptions(settings), readChangeTime(settings));
     }
@@ -30,12 +30,12 @@
         return this.current;
     }
 
-    /** Calls a listener whenever new certificates were read. */
+    /** Adds a listener that is called after new certificates have been loaded. */
     addListener(listener: (options: SecureContextOptions) => void): void {
         this.listeners.add(listener);
     }
 
-    /** Reads the files again if they changed. Files that cannot be used leave the current certificates in place. */
+    /** Reloads the files if they have changed. When a file cannot be read, the current certificates stay in use. */
     checkFiles(): void {
         try {
             const changedAt = readChangeTime(this.settings);
@@ -45,10 +45,10 @@
             this.current = readOptions(this.settings);
             this.changedAt = changedAt;
             this.listeners.forEach(listener => listener(this.current));
-            this.logger.info("certificates were read again", { file: this.settings.certificateFile });
+            this.logger.info("reloaded the certificates", { file: this.settings.certificateFile });
         }
         catch (error) {
-            this.logger.warn("certificates could not be read again", { text: describeError(error) });
+            this.logger.warn("failed to reload the certificates", { text: describeError(error) });
         }
     }
 
--- a/src/peers/types.ts
+++ b/src/peers/types.ts
@@ -35,28 +35,28 @@
 export type FollowRequestEventInit = MessageInitShape<typeof FollowRequestEventSchema>;
 export type ObjectRevisionInit = MessageInitShape<typeof ObjectRevisionSchema>;
 
-/** Where another node is and what it was last known to be. */
+/** Another node: its address and the state that was last received from it or about it. */
 export interface Member {
     readonly name: string;
     readonly failureDomain: string;
     readonly region: string;
     readonly address: NetworkAddress;
-    /** Start time of its process in Unix milliseconds, or 0 while unknown. */
+    /** Start time of the node's process in Unix milliseconds, or 0 until its first heartbeat. */
     incarnation: number;
-    /** Monotonic milliseconds at which it was last heard of, directly or through another node. */
+    /** Monotonic milliseconds of the node's last heartbeat, received directly or relayed by another node. */
     lastHeardAt: number;
     isLeaving: boolean;
     platformReachable: boolean;
-    /** Revisions that it had in force when it was last heard of directly. */
+    /** Applied revisions of shared objects, as reported in the node's own digests. */
     readonly revisions: Map<string, number>;
-    /** Monotonic milliseconds at which it was last heard of directly. */
+    /** Monotonic milliseconds at which the last digest of the node itself was received. */
     toldAt: number;
 }
 
-/** A call on a peer that failed, and whether the peer may have carried it out. */
+/** Result of a call to a peer; a failure states whether the peer may have executed the call. */
 export type PeerResult<T> = Result<T, Failure>;
 
-/** The calls that a node makes on its peers. */
+/** Calls from this node to its peers. */
 export interface PeerLink {
     exchangeDigests(address: NetworkAddress, digest: NodeDigestInit): Promise<PeerResult<NodeDigest>>;
     fetchSharedObjects(address: NetworkAddress, known: readonly ObjectRevisionInit[]): Promise<PeerResult<FetchSharedObjectsResponse>>;
@@ -68,7 +68,7 @@
     stop(): void;
 }
 
-/** What a node does when a peer calls it. */
+/** Handles the calls that peers make to this node. */
 export interface PeerHandler {
     handleExchange(digest: NodeDigest): Promise<NodeDigestInit>;
     createSharedObjectsAnswer(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit;
@@ -78,15 +78,15 @@
     describeRequest(requestId: string): string | undefined;
 }
 
-/** Builds and takes over digests. */
+/** Creates this node's digests and applies those of peers. */
 export interface DigestExchange {
     createDigest(): NodeDigestInit;
-    /** Takes over a peer's digest; returns whether it held news that the node's other peers need at once. */
+    /** Applies a peer's digest; returns whether it contained an urgent change that the node has to send to its other peers at once. */
     applyDigest(digest: NodeDigest): boolean;
 }
 
-/** Tells the other nodes at once of a change that must not wait for the next exchange. */
+/** Sends changes that must not wait for the next digest exchange, such as quarantines and rollbacks. */
 export interface UrgentNotifier {
-    /** Sends the node's digest to its peers; resolves when they have it or after a short time limit. */
+    /** Sends the node's digest to its peers; resolves when they have responded or after a short time limit. */
     sendUrgentDigest(): Promise<void>;
 }
--- a/src/versions/types.ts
+++ b/src/versions/types.ts
@@ -64,7 +64,7 @@
     readonly service: string;
     readonly route: string;
     readonly version: string;
-    /** Requests at the endpoint as a share of its concurrency limit. */
+    /** Requests at the endpoint as a share of its slots. */
     readonly load: number;
     /** Whether the endpoint responded without a failure. A lost connection is no evidence, since endpoints crash with any version. */
     readonly hasSucceeded: boolean;
