--- a/src/control/commands/leaseKeeper.ts
+++ b/src/control/commands/leaseKeeper.ts
@@ -48,7 +48,7 @@
     recordTaken(lease: string, fencing: number): void;
 }
 
-/** Returns whether the current holder is reachable by other means, such as gossip; a candidate then need not poll the store. */
+/** Monitors the current holder by other means than the store, such as gossip; while it is reachable, a candidate does not poll. */
 export interface HolderWatch {
     isHolderHeard(): boolean;
 }
@@ -74,7 +74,7 @@
         readonly name: string,
         private readonly term: number,
         private readonly observer: LeaseObserver,
-        private readonly holderWatch: HolderWatch | undefined,
+        private readonly holderMonitor: HolderWatch | undefined,
     ) {}
 
     /** The term is in milliseconds. */
@@ -85,15 +85,15 @@
         name: string,
         term: number,
         observer: LeaseObserver,
-        holderWatch?: HolderWatch,
+        holderMonitor?: HolderWatch,
     ): LeaseKeeper {
-        return new LeaseKeeper(store, clock, candidate, name, term, observer, holderWatch);
+        return new LeaseKeeper(store, clock, candidate, name, term, observer, holderMonitor);
     }
 
     /** Runs until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            if (this.getGrant() !== undefined || this.holderWatch?.isHolderHeard() !== true) {
+            if (this.getGrant() !== undefined || this.holderMonitor?.isHolderHeard() !== true) {
                 await this.runRound();
             }
             // A candidate polls less often than a holder renews: it must wait for the end of the term anyway.
--- a/src/peers/connectPeerLink.ts
+++ b/src/peers/connectPeerLink.ts
@@ -22,7 +22,7 @@
     PeerResult,
 } from "./types.js";
 
-/** Time limit of all other calls except followRequest and forwardCall. */
+/** Time limit of calls that exchange digests, fetch shared objects or describe a request. */
 const shortCallTimeoutMilliseconds = 1_500;
 /** Time limit of the call by which a peer adopts a request. */
 const adoptCallTimeoutMilliseconds = 3_000;
