--- a/src/fleet/endpointDirectory.ts
+++ b/src/fleet/endpointDirectory.ts
@@ -2,12 +2,12 @@
 import { FleetEndpoint } from "./fleetEndpoint.js";
 import { EndpointEntry } from "./types.js";
 
-/** Why an entry of the directory changed. */
+/** Kind of a change of the directory. */
 export enum DirectoryChangeKind {
     Added = "added",
     Draining = "draining",
     Removed = "removed",
-    /** Another process registered under the same id. */
+    /** A process with another incarnation, or of another service, registered under the same id. */
     Reborn = "reborn",
 }
 
@@ -15,28 +15,28 @@
 export interface DirectoryChange {
     readonly kind: DirectoryChangeKind;
     readonly endpoint: FleetEndpoint;
-    /** The life that a reborn endpoint had before. */
+    /** Incarnation of the endpoint before its restart; undefined if the id was not registered. */
     readonly previous?: FleetEndpoint;
-    /** Who brought the news. */
+    /** Origin of the change: the store, the name of a peer, or a request of this node. */
     readonly source: string;
 }
 
 /** Called after the directory changed. */
 export type DirectoryListener = (change: DirectoryChange) => void;
 
-/** An entry with the revision of the store at which it was written. */
+/** An entry with the store revision at which it was written. */
 export interface RevisedEntry {
     readonly entry: EndpointEntry;
     readonly revision: number;
 }
 
-/** The endpoints of every service, as they registered themselves. News of an entry is applied only if it is newer. */
+/** Directory of the registered endpoints of every service. An update of an entry is applied only if its revision is newer. */
 export class EndpointDirectory {
     private readonly endpoints = new Map<string, FleetEndpoint>();
-    private readonly byService = new Map<string, FleetEndpoint[]>();
-    private readonly revisions = new Map<string, number>();
+    private readonly endpointsByService = new Map<string, FleetEndpoint[]>();
+    private readonly revisionsById = new Map<string, number>();
     private readonly listeners: DirectoryListener[] = [];
-    private memoryTokens: (service: string) => number = () => 0;
+    private getMemoryTokens: (service: string) => number = () => 0;
 
     private constructor(private readonly clock: Clock) {}
 
@@ -44,11 +44,12 @@
         return new EndpointDirectory(clock);
     }
 
-    /** Says where the KV memory of a service's engines is looked up, in tokens. */
-    setMemorySource(source: (service: string) => number): void {
-        this.memoryTokens = source;
+    /** Sets the function that returns the KV memory of a service's engines, in tokens. */
+    setMemorySource(getMemoryTokens: (service: string) => number): void {
+        this.getMemoryTokens = getMemoryTokens;
     }
 
+    /** Adds a listener that is called after each change. */
     addListener(listener: DirectoryListener): void {
         this.listeners.push(listener);
     }
@@ -57,30 +58,30 @@
         return this.endpoints.get(id);
     }
 
-    /** Returns every endpoint of a service, those that leave included. */
+    /** Returns every endpoint of a service, including draining ones. */
     listEndpoints(service: string): readonly FleetEndpoint[] {
-        return this.byService.get(service) ?? [];
+        return this.endpointsByService.get(service) ?? [];
     }
 
     listAll(): FleetEndpoint[] {
         return [...this.endpoints.values()];
     }
 
-    /** Returns every entry with its revision, for nodes that the store turns away. */
+    /** Returns every entry with its revision, to send to nodes that cannot reach the store. */
     listEntries(): RevisedEntry[] {
         return [...this.endpoints.values()].map(endpoint => ({
             entry: endpoint.entry,
-            revision: this.revisions.get(endpoint.entry.id) ?? 0,
+            revision: this.revisionsById.get(endpoint.entry.id) ?? 0,
         }));
     }
 
-    /** Applies an entry unless a newer one is known; says whether it was applied. */
+    /** Applies an entry if its revision is newer than the recorded one; returns whether it was applied. */
     applyEntry(revised: RevisedEntry, source: string): boolean {
         const { entry, revision } = revised;
-        if (revision <= (this.revisions.get(entry.id) ?? 0)) {
+        if (revision <= (this.revisionsById.get(entry.id) ?? 0)) {
             return false;
         }
-        this.revisions.set(entry.id, revision);
+        this.revisionsById.set(entry.id, revision);
         const known = this.endpoints.get(entry.id);
         if (known === undefined || known.entry.incarnation !== entry.incarnation || known.entry.service !== entry.service) {
             this.putEndpoint(entry, known, source);
@@ -90,64 +91,64 @@
         known.entry = entry;
         known.isGone = false;
         if (entry.isDraining && !wasDraining) {
-            this.report({ kind: DirectoryChangeKind.Draining, endpoint: known, source });
+            this.publishChange({ kind: DirectoryChangeKind.Draining, endpoint: known, source });
         }
         return true;
     }
 
-    /** Removes an endpoint whose entry is gone. The revision, if known, keeps older news of it from bringing it back. */
+    /** Removes an endpoint whose entry was removed. The revision, if given, prevents older updates from adding it again. */
     removeEntry(id: string, revision: number | undefined, source: string): void {
-        const known = this.revisions.get(id) ?? 0;
+        const known = this.revisionsById.get(id) ?? 0;
         if (revision !== undefined && revision <= known) {
             return;
         }
-        this.revisions.set(id, revision ?? known);
+        this.revisionsById.set(id, revision ?? known);
         const endpoint = this.endpoints.get(id);
         if (endpoint === undefined) {
             return;
         }
-        this.dropEndpoint(endpoint);
-        this.report({ kind: DirectoryChangeKind.Removed, endpoint, source });
+        this.removeEndpoint(endpoint);
+        this.publishChange({ kind: DirectoryChangeKind.Removed, endpoint, source });
     }
 
-    /** Marks an endpoint that said itself that it leaves. */
+    /** Marks an endpoint as draining after it reported so itself, before its entry in the store changes. */
     markDraining(endpoint: FleetEndpoint, source: string): void {
         if (endpoint.entry.isDraining || endpoint.isGone) {
             return;
         }
         endpoint.entry = { ...endpoint.entry, isDraining: true };
-        this.report({ kind: DirectoryChangeKind.Draining, endpoint, source });
+        this.publishChange({ kind: DirectoryChangeKind.Draining, endpoint, source });
     }
 
-    /** Marks an endpoint whose address answers under another identity. */
+    /** Marks an endpoint as removed after another endpoint responded at its address. */
     markGone(endpoint: FleetEndpoint, source: string): void {
         if (endpoint.isGone) {
             return;
         }
         endpoint.isGone = true;
-        this.report({ kind: DirectoryChangeKind.Removed, endpoint, source });
+        this.publishChange({ kind: DirectoryChangeKind.Removed, endpoint, source });
     }
 
     private putEndpoint(entry: EndpointEntry, known: FleetEndpoint | undefined, source: string): void {
         if (known !== undefined) {
-            this.dropEndpoint(known);
+            this.removeEndpoint(known);
         }
-        const endpoint = FleetEndpoint.create(entry, this.memoryTokens(entry.service));
+        const endpoint = FleetEndpoint.create(entry, this.getMemoryTokens(entry.service));
         this.endpoints.set(entry.id, endpoint);
-        this.byService.set(entry.service, [...this.listEndpoints(entry.service), endpoint]);
+        this.endpointsByService.set(entry.service, [...this.listEndpoints(entry.service), endpoint]);
         endpoint.heardAt = this.clock.getMonotonicTime();
         const kind = known === undefined ? DirectoryChangeKind.Added : DirectoryChangeKind.Reborn;
-        this.report({ kind, endpoint, previous: known, source });
+        this.publishChange({ kind, endpoint, previous: known, source });
     }
 
-    private dropEndpoint(endpoint: FleetEndpoint): void {
+    private removeEndpoint(endpoint: FleetEndpoint): void {
         endpoint.isGone = true;
         this.endpoints.delete(endpoint.entry.id);
         const others = this.listEndpoints(endpoint.entry.service).filter(other => other !== endpoint);
-        this.byService.set(endpoint.entry.service, others);
+        this.endpointsByService.set(endpoint.entry.service, others);
     }
 
-    private report(change: DirectoryChange): void {
+    private publishChange(change: DirectoryChange): void {
         this.listeners.forEach(listener => listener(change));
     }
 }
--- a/src/fleet/endpointFollower.test.ts
+++ b/src/fleet/endpointFollower.test.ts
@@ -18,7 +18,7 @@
     return { directory, follower, isUsable, change };
 }
 
-test("entries that lapsed in an outage get time to come back; one that does not is gone", async () => {
+test("endpoints whose entries expired in a store outage stay usable until they had time to register again", async () => {
     const clock = VirtualClock.create();
     const { follower, isUsable, change } = createFollower(clock);
     change(1, { id: "a" });
@@ -34,7 +34,7 @@
     assert.equal(isUsable("b"), false);
 });
 
-test("without an outage a removed entry is gone at once, and older news does not bring it back", () => {
+test("without an outage a removed endpoint is dropped at once, and an older update does not add it again", () => {
     const clock = VirtualClock.create();
     const { directory, follower, isUsable, change } = createFollower(clock);
     change(1, { id: "a" });
@@ -46,7 +46,7 @@
     assert.equal(isUsable("a"), true);
 });
 
-test("another life under the same id starts with nothing of the one before", () => {
+test("a restarted endpoint does not inherit the cache and the exclusion of its previous incarnation", () => {
     const clock = VirtualClock.create();
     const { directory, change } = createFollower(clock);
     change(1, { id: "a", incarnation: 1 });
@@ -61,19 +61,19 @@
     assert.equal(before?.isGone, true);
 });
 
-test("an endpoint that only a peer told of is removed by the store like any other", () => {
-    for (const way of ["listing", "watch"]) {
+test("an endpoint received only from a peer is removed by a store listing or watch at a newer revision", () => {
+    for (const trigger of ["listing", "watch"]) {
         const clock = VirtualClock.create();
         const { directory, follower, isUsable } = createFollower(clock);
-        directory.applyEntry({ entry: createEndpointEntry({ id: "told" }), revision: 5 }, "peer");
+        directory.applyEntry({ entry: createEndpointEntry({ id: "older" }), revision: 5 }, "peer");
         directory.applyEntry({ entry: createEndpointEntry({ id: "newer" }), revision: 9 }, "peer");
-        if (way === "listing") {
+        if (trigger === "listing") {
             follower.handleListing({ revision: 8, objects: [] });
         }
         else {
-            follower.handleRemoval("endpoints/told", 8);
+            follower.handleRemoval("endpoints/older", 8);
         }
-        assert.equal(isUsable("told"), false, way);
-        assert.equal(isUsable("newer"), true, way);
+        assert.equal(isUsable("older"), false, trigger);
+        assert.equal(isUsable("newer"), true, trigger);
     }
 });
--- a/src/fleet/endpointFollower.ts
+++ b/src/fleet/endpointFollower.ts
@@ -7,23 +7,24 @@
 import { EndpointDirectory } from "./endpointDirectory.js";
 import { EndpointEntry } from "./types.js";
 
-/** Time after an outage of the store until which missing entries may come back, in milliseconds: two seconds by the store's terms, and a little. */
-const returnMilliseconds = 2_300;
-/** Time in which a change reaches every node that watches the store, in milliseconds: a few answers of the store. */
-const newsMilliseconds = 250;
+/** Time for endpoints to register again after a store outage, in milliseconds: two seconds by the store's contract, plus a margin. */
+const reregistrationMilliseconds = 2_300;
+/** Time in which a change reaches every node that watches the store, in milliseconds: the time of a few store responses. */
+const watchPropagationMilliseconds = 250;
 const storeSource = "store";
 
-/** Reads an endpoint's entry from the form in which a deployment stores it. */
+/** Decodes endpoint entries from the format in which a deployment stores them. */
 export interface EndpointDecoder {
     /** Prefix of the objects that hold entries; the rest of an object's name is the endpoint's id. */
     readonly prefix: string;
+    /** Returns the entry, or a description of its faults. */
     decodeEndpoint(object: StoredObject): Result<EndpointEntry, string>;
 }
 
-/** Keeps the directory by what endpoints write to the store. */
+/** Updates the endpoint directory from the entries that endpoints write to the store. */
 export class EndpointFollower implements ObjectHandler {
-    private readonly pendingRemovals = new Map<string, number>();
-    private getRegainedAt: () => number = () => -Infinity;
+    private readonly pendingRemovalRevisions = new Map<string, number>();
+    private getOutageEndedAt: () => number = () => -Infinity;
     private revision = 0;
     private changedAt = -Infinity;
 
@@ -38,17 +39,17 @@
         return new EndpointFollower(directory, decoder, clock, log);
     }
 
-    /** Says where the end of the store's last outage is looked up, as a monotonic time. */
-    setOutageSource(getRegainedAt: () => number): void {
-        this.getRegainedAt = getRegainedAt;
+    /** Sets the function that returns the end of the store's last outage, in monotonic milliseconds; -Infinity before the first. */
+    setOutageSource(getOutageEndedAt: () => number): void {
+        this.getOutageEndedAt = getOutageEndedAt;
     }
 
-    /** Returns the highest revision of an entry that was applied. */
+    /** Returns the highest store revision up to which changes were applied. */
     getRevision(): number {
         return this.revision;
     }
 
-    /** Records that the directory is complete up to a revision of the store, by what a peer told. */
+    /** Records that the directory is complete up to a store revision; lower revisions are ignored. */
     recordRevision(revision: number): void {
         if (revision > this.revision) {
             this.revision = revision;
@@ -56,27 +57,27 @@
         }
     }
 
-    /** Whether its newest change is so old that other nodes' watches would have shown it to them. */
-    hasOldNews(): boolean {
-        return this.clock.getMonotonicTime() - this.changedAt > newsMilliseconds;
+    /** Returns whether the newest change is old enough to have reached every node that watches the store. */
+    isLatestChangePropagated(): boolean {
+        return this.clock.getMonotonicTime() - this.changedAt > watchPropagationMilliseconds;
     }
 
     handleListing(list: ObjectList): void {
         const before = this.revision;
         this.applyListing(list);
         if (this.revision > before) {
-            // Found by listing, so it happened some time ago.
+            // A change found by listing was written some time ago, so other watches should have delivered it.
             this.changedAt = -Infinity;
         }
     }
 
     private applyListing(list: ObjectList): void {
-        const listed = new Set(list.objects.map(object => object.name));
+        const listedNames = new Set(list.objects.map(object => object.name));
         list.objects.forEach(object => this.handleChange(object));
-        // Also those that peers told of: the store never showed them to this node.
+        // Includes endpoints received from peers, which this node has never read from the store.
         for (const { entry, revision } of this.directory.listEntries()) {
             const name = this.decoder.prefix + entry.id;
-            if (!listed.has(name) && revision < list.revision) {
+            if (!listedNames.has(name) && revision < list.revision) {
                 this.handleRemoval(name, list.revision);
             }
         }
@@ -88,29 +89,32 @@
             this.log.log(LogEvents.EndpointEntryFaulty, { entry: object.name, revision: object.revision, fault: decoded.val });
             return;
         }
-        this.pendingRemovals.delete(object.name);
+        this.pendingRemovalRevisions.delete(object.name);
         this.recordRevision(object.revision);
         this.directory.applyEntry({ entry: decoded.val, revision: object.revision }, storeSource);
     }
 
-    /** Removes an endpoint whose entry is gone. Entries that lapsed in an outage of the store get the time to come back. */
+    /**
+     * Removes an endpoint whose entry was removed. After a store outage the removal is delayed, because an endpoint whose entry
+     * expired in the outage may register again.
+     */
     handleRemoval(name: string, revision: number): void {
-        const returnsUntil = this.getRegainedAt() + returnMilliseconds;
-        const wait = returnsUntil - this.clock.getMonotonicTime();
-        if (wait <= 0) {
+        const reregistrationDeadline = this.getOutageEndedAt() + reregistrationMilliseconds;
+        const delay = reregistrationDeadline - this.clock.getMonotonicTime();
+        if (delay <= 0) {
             this.removeEndpoint(name, revision);
             return;
         }
-        this.pendingRemovals.set(name, revision);
-        void this.clock.sleep(wait).then(() => {
-            if (this.pendingRemovals.get(name) === revision) {
+        this.pendingRemovalRevisions.set(name, revision);
+        void this.clock.sleep(delay).then(() => {
+            if (this.pendingRemovalRevisions.get(name) === revision) {
                 this.removeEndpoint(name, revision);
             }
         });
     }
 
     private removeEndpoint(name: string, revision: number): void {
-        this.pendingRemovals.delete(name);
+        this.pendingRemovalRevisions.delete(name);
         this.recordRevision(revision);
         this.directory.removeEntry(name.slice(this.decoder.prefix.length), revision, storeSource);
     }
--- a/src/fleet/fleetEndpoint.ts
+++ b/src/fleet/fleetEndpoint.ts
@@ -1,38 +1,38 @@
 import { PromptCache } from "./promptCache.js";
 import { EndpointEntry, ReportedLoad } from "./types.js";
 
-/** Share of an engine's KV memory that parts of prompts are believed to keep; running requests take the rest. */
-const cachedShareOfMemory = 0.75;
-/** Weight of the newest result in an endpoint's share of failures: about the last eight results count. */
-const failureWeight = 0.125;
-/** Share of failures from which an endpoint is used only when there is no better one: well above honest error rates of one in seven. */
+/** Share of an engine's KV memory assumed to hold cached prompt parts; running requests use the rest. */
+const promptCacheMemoryShare = 0.75;
+/** Weight of the newest result in the moving averages of an endpoint: about the last eight results count. */
+const resultWeight = 0.125;
+/** Failure share from which an endpoint is used only if there is no better one: well above normal error rates of one in seven. */
 const unhealthyFailureShare = 0.4;
-/** First time for which an endpoint that did not answer is left out, in milliseconds; it doubles with each further failure. */
-const firstExclusionMilliseconds = 500;
-/** Longest such time, in milliseconds: endpoints are back some seconds after a crash. */
-const longestExclusionMilliseconds = 4_000;
-/** Time for which a refusal for want of room is believed, in milliseconds: a queue of short calls empties in about that time. */
-const refusalMilliseconds = 150;
-
-/** Load that other nodes have put on an endpoint, as they last told it. */
+/** Time for which an endpoint is excluded after it did not respond, in milliseconds; it doubles with each further failure. */
+const initialExclusionMilliseconds = 500;
+/** Maximum exclusion, in milliseconds: endpoints are available again some seconds after a crash. */
+const maximumExclusionMilliseconds = 4_000;
+/** Time for which an endpoint counts as full after a refusal, in milliseconds: a queue of short calls empties in about that time. */
+const fullMilliseconds = 150;
+
+/** Load of all other nodes' requests at an endpoint, from their last reports. */
 export interface SharedLoad {
     readonly running: number;
     readonly promptTokens: number;
 }
 
-/** What a node knows of one endpoint. Times are monotonic milliseconds. */
+/** Load, health and estimated prompt cache of one endpoint, by which requests are placed. Times are monotonic milliseconds. */
 export class FleetEndpoint {
-    /** Requests of this node that the endpoint has not ended yet. */
+    /** Requests of this node that the endpoint has not finished. */
     running = 0;
-    /** Prompt tokens of this node's requests that have had no event yet. */
+    /** Prompt tokens of this node's requests that have received no event yet. */
     promptTokens = 0;
-    /** What all other nodes together have there. */
+    /** Total load of all other nodes at the endpoint. */
     sharedLoad: SharedLoad = { running: 0, promptTokens: 0 };
     reportedLoad: ReportedLoad | undefined;
     reportedAt = -Infinity;
-    /** When something was last received from it. */
+    /** Time of the last data received from it; -Infinity before the first. */
     heardAt = -Infinity;
-    /** It names another endpoint at its address, or was removed; only a new entry brings it back. */
+    /** Whether the endpoint was removed, or another endpoint responded at its address. Only a new entry makes it usable again. */
     isGone = false;
     readonly cache: PromptCache;
     private failureShare = 0;
@@ -42,80 +42,82 @@
     private latencyRatio = 1;
 
     private constructor(public entry: EndpointEntry, memoryTokens: number) {
-        this.cache = PromptCache.create(memoryTokens * cachedShareOfMemory);
+        this.cache = PromptCache.create(memoryTokens * promptCacheMemoryShare);
     }
 
     static create(entry: EndpointEntry, memoryTokens: number): FleetEndpoint {
         return new FleetEndpoint(entry, memoryTokens);
     }
 
-    /** Whether new requests may go to it at all. */
+    /** Returns whether new requests may be sent to it: it is neither removed nor draining. */
     isUsable(): boolean {
         return !this.isGone && !this.entry.isDraining;
     }
 
-    /** Whether it is left out for now because it gave no answer. */
+    /** Returns whether it is temporarily excluded because it did not respond. */
     isExcluded(now: number): boolean {
         return now < this.excludedUntil;
     }
 
-    /** Whether it refused a request for want of room a moment ago. */
+    /** Returns whether it recently refused a request because it was full. */
     isFull(now: number): boolean {
         return now < this.fullUntil;
     }
 
-    /** Whether it failed so often that others are to be preferred. */
+    /** Returns whether its failure share is so high that other endpoints are preferred. */
     isUnhealthy(): boolean {
         return this.failureShare >= unhealthyFailureShare;
     }
 
+    /** Returns the moving average of failed results, from 0 to 1. */
     getFailureShare(): number {
         return this.failureShare;
     }
 
-    /** Returns how much slower than expected it was lately, at least 1. */
+    /** Returns the moving average of measured to expected latency, at least 1. */
     getLatencyRatio(): number {
         return Math.max(1, this.latencyRatio);
     }
 
-    /** Returns the requests that run or wait there, of all nodes. */
+    /** Returns the number of all nodes' requests that run or wait at the endpoint. */
     countRequests(): number {
         return this.running + this.sharedLoad.running;
     }
 
-    /** Returns the prompt tokens that wait to be read there, of all nodes. */
+    /** Returns the number of all nodes' prompt tokens that the endpoint has yet to process. */
     countPromptTokens(): number {
         return this.promptTokens + this.sharedLoad.promptTokens;
     }
 
+    /** Records the load that the endpoint reported with a response. */
     recordLoad(load: ReportedLoad, now: number): void {
         this.reportedLoad = load;
         this.reportedAt = now;
     }
 
-    /** Records an answer that the endpoint gave in good order, with how long it took against what was expected. */
+    /** Records a successful response with the ratio of its measured to its expected latency. */
     recordSuccess(latencyRatio: number): void {
-        this.failureShare *= 1 - failureWeight;
+        this.failureShare *= 1 - resultWeight;
         this.failuresInRow = 0;
         this.excludedUntil = -Infinity;
-        this.latencyRatio += (Math.min(latencyRatio, 10) - this.latencyRatio) * failureWeight;
+        this.latencyRatio += (Math.min(latencyRatio, 10) - this.latencyRatio) * resultWeight;
     }
 
-    /** Records an answer that says the request failed. */
+    /** Records an error response. */
     recordError(): void {
-        this.failureShare += (1 - this.failureShare) * failureWeight;
+        this.failureShare += (1 - this.failureShare) * resultWeight;
     }
 
-    /** Records that no answer came: refused or lost connections, silence, unreadable answers. */
+    /** Records a missing response: a refused or lost connection, a timeout or an unreadable response. */
     recordLoss(now: number): void {
         this.recordError();
         this.failuresInRow += 1;
-        const time = firstExclusionMilliseconds * 2 ** (this.failuresInRow - 1);
-        this.excludedUntil = now + Math.min(time, longestExclusionMilliseconds);
+        const exclusion = initialExclusionMilliseconds * 2 ** (this.failuresInRow - 1);
+        this.excludedUntil = now + Math.min(exclusion, maximumExclusionMilliseconds);
     }
 
-    /** Records that it had no room. */
+    /** Records that the endpoint refused a request because it was full. */
     recordRefusal(now: number): void {
-        this.fullUntil = now + refusalMilliseconds;
+        this.fullUntil = now + fullMilliseconds;
     }
 }
--- a/src/fleet/promptCache.ts
+++ b/src/fleet/promptCache.ts
@@ -1,18 +1,21 @@
 import { PromptPart } from "./types.js";
 
-/** What one endpoint is believed to hold of prompts: the parts that were sent to it lately, the least recently used first. */
+/**
+ * Estimate of the prompt parts in one endpoint's KV cache, from the parts recently sent to it, so that requests with the same
+ * leading parts are placed there. The least recently used part comes first and is evicted first.
+ */
 export class PromptCache {
     private readonly tokensByPart = new Map<string, number>();
     private totalTokens = 0;
 
-    private constructor(private readonly capacity: number) {}
+    private constructor(private readonly capacityTokens: number) {}
 
-    /** The capacity is in tokens. */
-    static create(capacity: number): PromptCache {
-        return new PromptCache(capacity);
+    /** Creates an empty cache with a capacity in tokens. */
+    static create(capacityTokens: number): PromptCache {
+        return new PromptCache(capacityTokens);
     }
 
-    /** Records that an endpoint reads or has just used a part. */
+    /** Records that the endpoint processes or has just used a part. */
     recordPart(part: PromptPart): void {
         const known = this.tokensByPart.get(part.id);
         if (known !== undefined) {
@@ -21,24 +24,24 @@
         }
         this.tokensByPart.set(part.id, part.tokens);
         this.totalTokens += part.tokens;
-        this.removeOldest();
+        this.evictLeastRecentlyUsed();
     }
 
-    /** Returns the tokens of the leading parts that need not be read again. */
+    /** Returns the tokens of the leading parts that are cached and need not be processed again. */
     countCachedTokens(parts: readonly PromptPart[]): number {
-        let cached = 0;
+        let cachedTokens = 0;
         for (const part of parts) {
             if (!this.tokensByPart.has(part.id)) {
-                return cached;
+                return cachedTokens;
             }
-            cached += part.tokens;
+            cachedTokens += part.tokens;
         }
-        return cached;
+        return cachedTokens;
     }
 
-    private removeOldest(): void {
+    private evictLeastRecentlyUsed(): void {
         for (const [id, tokens] of this.tokensByPart) {
-            if (this.totalTokens <= this.capacity) {
+            if (this.totalTokens <= this.capacityTokens) {
                 return;
             }
             this.tokensByPart.delete(id);
--- a/src/fleet/types.ts
+++ b/src/fleet/types.ts
@@ -1,27 +1,27 @@
 import { z } from "zod";
 
-/** An endpoint as it registered itself. */
+/** Registration of an endpoint. */
 export const endpointEntrySchema = z.object({
     id: z.string().min(1),
-    /** Start time of its process in Unix milliseconds: it tells two lives under one id apart. */
+    /** Start time of its process, in Unix milliseconds: it distinguishes two incarnations under one id. */
     incarnation: z.number(),
     service: z.string().min(1),
     address: z.object({ host: z.string().min(1), port: z.number().int().min(1) }),
     failureDomain: z.string().min(1),
     /** Version of its software. */
     version: z.string(),
-    /** Requests that it runs at the same time. */
+    /** Number of requests that it runs concurrently. */
     slots: z.number().int().positive(),
-    /** It leaves: it gets no new requests. */
+    /** Whether it is draining and gets no new requests. */
     isDraining: z.boolean(),
-    /** Whether its host may be reclaimed. */
+    /** Whether the provider may reclaim its host. */
     isReclaimable: z.boolean(),
-    /** How much longer it is slow after its start, in milliseconds. */
+    /** Remaining warm-up time in which it is slow, in milliseconds. */
     warmUpLeft: z.number().min(0),
 });
 export type EndpointEntry = z.infer<typeof endpointEntrySchema>;
 
-/** Load that an endpoint tells of itself with an answer. */
+/** Load that an endpoint reports with a response. */
 export interface ReportedLoad {
     readonly running: number;
     readonly waiting: number;
@@ -34,7 +34,7 @@
     readonly tokens: number;
 }
 
-/** What a generation asks of an engine. */
+/** Prompt parts, input tokens and output limit of a generation request, for the choice of an engine. */
 export interface PromptShape {
     readonly parts: readonly PromptPart[];
     readonly inputTokens: number;
--- a/src/gossip/fleetSums.ts
+++ b/src/gossip/fleetSums.ts
@@ -6,13 +6,13 @@
 import { SharedLoads } from "./sharedLoads.js";
 import { FleetSummaryInit, GatewayDigest, GatewayPeer } from "./types.js";
 
-/** Name under which a node keeps the sums that its relay told of all other nodes. */
-const fleetSource = "*";
-/** Start of the names under which a relay keeps what another relay told of its group; no node's name begins so. */
-const groupPrefix = "*group ";
+/** Source name for the totals of the whole fleet that a node receives from its relay. */
+const wholeFleetSource = "*";
+/** Prefix of the source names for the totals of another relay's group; no node name begins with it. */
+const groupSourcePrefix = "*group ";
 
-/** What sums are made of. */
-export interface FleetSumsParts {
+/** Dependencies of the fleet summaries. */
+export interface FleetSummaryDependencies {
     readonly clock: Clock;
     readonly table: PeerTable;
     readonly plan: RelayPlan;
@@ -22,62 +22,63 @@
 }
 
 /**
- * Adds up what nodes tell of demand, work and loads. A relay tells other relays the sum of its group, itself included, and
- * each node of its group the sum of all nodes but that one, so that no node's part is counted twice.
+ * Aggregates the quota demand, engine work and endpoint load that nodes report, so that a large fleet needs no exchange
+ * between every two nodes. A relay sends the other relays the totals of its own group, itself included, and sends each node of
+ * its group the totals of all other nodes, so that no node is counted twice.
  */
 export class FleetSums {
-    private constructor(private readonly parts: FleetSumsParts) {}
+    private constructor(private readonly dependencies: FleetSummaryDependencies) {}
 
-    static create(parts: FleetSumsParts): FleetSums {
-        return new FleetSums(parts);
+    static create(dependencies: FleetSummaryDependencies): FleetSums {
+        return new FleetSums(dependencies);
     }
 
-    /** Returns what this node, as a relay, tells a peer; undefined from any other node. */
+    /** Returns the summary that this node, as a relay, sends to a peer; undefined when this node is not a relay. */
     createSummary(peer: GatewayPeer): FleetSummaryInit | undefined {
-        const { plan, table } = this.parts;
+        const { plan, table } = this.dependencies;
         if (!plan.isRelaying()) {
             return undefined;
         }
-        this.removeOthers(source => source !== fleetSource);
-        const heard = table.listHeard().filter(other => other !== peer);
+        this.removeSourcesExcept(source => source !== wholeFleetSource);
+        const reachable = table.listHeard().filter(other => other !== peer);
         if (plan.isRelay(peer)) {
-            const group = heard.filter(other => other.isDirect && !plan.isRelay(other));
-            return this.createSums(false, group, source => !source.startsWith(groupPrefix));
+            const group = reachable.filter(other => other.isDirect && !plan.isRelay(other));
+            return this.buildSummary(false, group, source => !source.startsWith(groupSourcePrefix));
         }
-        return this.createSums(true, heard, source => source !== peer.name);
+        return this.buildSummary(true, reachable, source => source !== peer.name);
     }
 
-    /** Takes a peer's part, or what it told as a relay. */
+    /** Merges a peer's own figures, or its summary if the peer is a relay. */
     applyDigest(peer: GatewayPeer, digest: GatewayDigest): void {
         const { summary } = digest;
         if (summary === undefined) {
-            this.removeOthers(source => source !== groupPrefix + peer.name);
-            this.recordSums(peer.name, digest, 1);
+            this.removeSourcesExcept(source => source !== groupSourcePrefix + peer.name);
+            this.recordSourceSums(peer.name, digest, 1);
             return;
         }
-        this.recordSigns(digest);
+        this.recordRelayedPeerStates(digest);
         if (!summary.isWholeFleet) {
-            // What some of its nodes told this one before is in the sum now.
+            // The summary contains these nodes, so figures received from them directly must not be counted again.
             const covered = new Set([peer.name, ...summary.nodes.map(node => node.member?.name)]);
-            this.removeOthers(source => !covered.has(source));
-            this.recordSums(groupPrefix + peer.name, summary, summary.nodes.length + 1);
+            this.removeSourcesExcept(source => !covered.has(source));
+            this.recordSourceSums(groupSourcePrefix + peer.name, summary, summary.nodes.length + 1);
             return;
         }
-        // Two relays may each believe that the other one is none; each then counts the other's own part only.
-        if (this.parts.plan.isRelaying()) {
-            this.recordSums(peer.name, digest, 1);
+        // While views differ, each of two relays may treat the other as an ordinary node; count only the peer's own figures then.
+        if (this.dependencies.plan.isRelaying()) {
+            this.recordSourceSums(peer.name, digest, 1);
             return;
         }
-        this.removeOthers(source => source === fleetSource);
-        this.recordSums(fleetSource, summary, summary.nodes.length + 1);
+        this.removeSourcesExcept(source => source === wholeFleetSource);
+        this.recordSourceSums(wholeFleetSource, summary, summary.nodes.length + 1);
     }
 
-    private createSums(
+    private buildSummary(
         isWholeFleet: boolean,
         nodes: readonly GatewayPeer[],
         isCounted: (source: string) => boolean,
     ): FleetSummaryInit {
-        const { clock, caps, work, loads } = this.parts;
+        const { clock, caps, work, loads } = this.dependencies;
         const now = clock.getMonotonicTime();
         return {
             isWholeFleet,
@@ -99,25 +100,25 @@
         };
     }
 
-    private recordSums(source: string, told: Pick<GatewayDigest, "loads" | "demands" | "works">, nodes: number): void {
-        const { caps, work, loads } = this.parts;
-        told.demands.forEach(({ team, demand, passed }) => caps.recordOtherDemand({ name: team, demand, passed, nodes }, source));
-        told.works.forEach(({ service, work: amount }) => work.recordOther(service, source, amount));
-        loads.recordLoads(source, told.loads);
+    private recordSourceSums(source: string, sums: Pick<GatewayDigest, "loads" | "demands" | "works">, nodes: number): void {
+        const { caps, work, loads } = this.dependencies;
+        sums.demands.forEach(({ team, demand, passed }) => caps.recordOtherDemand({ name: team, demand, passed, nodes }, source));
+        sums.works.forEach(({ service, work: amount }) => work.recordOther(service, source, amount));
+        loads.recordLoads(source, sums.loads);
     }
 
-    private recordSigns(digest: GatewayDigest): void {
+    private recordRelayedPeerStates(digest: GatewayDigest): void {
         for (const { member, ageMilliseconds, isLeaving, isStoreReachable, holdsLease } of digest.summary?.nodes ?? []) {
             if (member !== undefined) {
                 const identity = { ...member, incarnation: Number(member.incarnation) };
-                this.parts.table.recordSign(identity, ageMilliseconds, { isLeaving, isStoreReachable, holdsLease });
+                this.dependencies.table.recordRelayedState(identity, ageMilliseconds, { isLeaving, isStoreReachable, holdsLease });
             }
         }
     }
 
-    private removeOthers(isKept: (source: string) => boolean): void {
-        this.parts.caps.removeOthers(isKept);
-        this.parts.work.removeOthers(isKept);
-        this.parts.loads.removeOthers(isKept);
+    private removeSourcesExcept(isKept: (source: string) => boolean): void {
+        this.dependencies.caps.removeOthers(isKept);
+        this.dependencies.work.removeOthers(isKept);
+        this.dependencies.loads.removeSourcesExcept(isKept);
     }
 }
--- a/src/gossip/gatewayContent.ts
+++ b/src/gossip/gatewayContent.ts
@@ -22,19 +22,19 @@
 import { VersionSide } from "../versions/types.js";
 import { VersionMoves } from "../versions/versionMoves.js";
 import { FleetSums } from "./fleetSums.js";
-import { GossipContent } from "./gossipExchange.js";
+import { DigestHandler } from "./gossipExchange.js";
 import { describeLife, PeerTable } from "./peerTable.js";
 import { RelayPlan } from "./relayPlan.js";
 import { SharedLoads } from "./sharedLoads.js";
 import { GatewayDigest, GatewayDigestInit, GatewayPeer, SharedState, SharedStateInit } from "./types.js";
 
-/** Windows of usage that are told: the one that runs and those whose report may still be due. */
-const toldWindows = 4;
+/** Number of usage windows in a digest: the current one and earlier ones whose usage report may still be due. */
+const reportedWindowCount = 4;
 
 const revisedEntriesSchema = z.array(z.object({ entry: endpointEntrySchema, revision: z.number() }));
 
-/** What a node tells of itself and where it puts what others tell. */
-export interface GatewayContentParts {
+/** Dependencies of the digest handler: the state that it reports to peers and the state into which it merges their digests. */
+export interface GatewayDigestDependencies {
     readonly clock: Clock;
     readonly log: EventLog;
     readonly table: PeerTable;
@@ -58,86 +58,87 @@
     readonly getIsLeaving: () => boolean;
 }
 
-/** The digest of a gateway. */
-export class GatewayContent implements GossipContent {
-    private constructor(private readonly parts: GatewayContentParts) {}
+/** Builds the digests that a gateway sends to its peers and merges the digests that it receives. */
+export class GatewayContent implements DigestHandler {
+    private constructor(private readonly dependencies: GatewayDigestDependencies) {}
 
-    static create(parts: GatewayContentParts): GatewayContent {
-        return new GatewayContent(parts);
+    static create(dependencies: GatewayDigestDependencies): GatewayContent {
+        return new GatewayContent(dependencies);
     }
 
+    /** Creates the digest for a peer; undefined stands for a node whose name is not known yet. */
     createDigest(peer: GatewayPeer | undefined): GatewayDigestInit {
-        const { parts } = this;
-        const { identity } = parts.table;
+        const { dependencies } = this;
+        const { identity } = dependencies.table;
         this.updateNodeCount();
         return {
             member: { ...identity, incarnation: BigInt(identity.incarnation) },
-            isLeaving: parts.getIsLeaving(),
+            isLeaving: dependencies.getIsLeaving(),
             isStoreReachable: this.isStoreCurrent(),
-            isFollowing: parts.plan.isFollowingRelay(),
-            configurationVersion: BigInt(parts.configuration.getVersion()),
-            directoryRevision: BigInt(parts.endpointFollower.getRevision()),
-            // A relay's summary names them.
-            knownMembers: parts.plan.hasRelays() ? [] : this.listMembers(),
-            demands: parts.caps.listDemands().map(({ name, demand, passed }) => ({ team: name, demand, passed })),
-            loads: parts.loads.listOwn(),
+            isFollowing: dependencies.plan.isFollowingRelay(),
+            configurationVersion: BigInt(dependencies.configuration.getVersion()),
+            directoryRevision: BigInt(dependencies.endpointFollower.getRevision()),
+            // In a fleet with relays, the summary lists the members.
+            knownMembers: dependencies.plan.hasRelays() ? [] : this.listMembers(),
+            demands: dependencies.caps.listDemands().map(({ name, demand, passed }) => ({ team: name, demand, passed })),
+            loads: dependencies.loads.listLocalLoads(),
             placements: this.listPlacements(peer),
             usage: this.listUsage(peer),
             lease: {
-                holder: parts.lease.getHolder(),
-                fencing: BigInt(parts.lease.getFencing()),
-                isHeldBySender: parts.lease.getCredentials() !== undefined,
+                holder: dependencies.lease.getHolder(),
+                fencing: BigInt(dependencies.lease.getFencing()),
+                isHeldBySender: dependencies.lease.getCredentials() !== undefined,
             },
             suspects: this.listSuspects(),
-            works: parts.work.listOwn().map(({ service, work }) => ({ service, work })),
+            works: dependencies.work.listOwn().map(({ service, work }) => ({ service, work })),
             evidence: this.listEvidence(peer),
-            summary: peer === undefined ? undefined : parts.sums.createSummary(peer),
+            summary: peer === undefined ? undefined : dependencies.sums.createSummary(peer),
         };
     }
 
     applyDigest(peer: GatewayPeer, digest: GatewayDigest): void {
-        const { parts } = this;
-        parts.sums.applyDigest(peer, digest);
+        const { dependencies } = this;
+        dependencies.sums.applyDigest(peer, digest);
         this.applyPlacements(peer, digest);
         digest.suspects.forEach(suspect => this.applySuspect(suspect, peer.name));
         for (const { window, teams, source } of digest.usage) {
-            parts.usageLedger.recordUsage(source === "" ? describeLife(peer) : source, Number(window), teams);
+            dependencies.usageLedger.recordUsage(source === "" ? describeLife(peer) : source, Number(window), teams);
         }
         this.applyEvidence(peer, digest);
-        parts.lease.recordNews(digest.lease?.holder ?? "", Number(digest.lease?.fencing ?? 0));
+        dependencies.lease.recordNews(digest.lease?.holder ?? "", Number(digest.lease?.fencing ?? 0));
     }
 
-    getHolder(): string {
-        return this.parts.lease.getHolder();
+    getLeaseHolder(): string {
+        return this.dependencies.lease.getHolder();
     }
 
     createStateFor(digest: GatewayDigest): SharedStateInit | undefined {
-        const { parts } = this;
-        const lacksConfiguration = Number(digest.configurationVersion) < parts.configuration.getVersion();
-        const isBehind = Number(digest.directoryRevision) < parts.endpointFollower.getRevision();
-        // To a node that watches the store, news that is quite new is still on its way.
-        const waitsForNews = digest.isFollowing || !digest.isStoreReachable;
-        const lacksEndpoints = isBehind && (waitsForNews || parts.endpointFollower.hasOldNews());
+        const { dependencies } = this;
+        const lacksConfiguration = Number(digest.configurationVersion) < dependencies.configuration.getVersion();
+        const hasOlderDirectory = Number(digest.directoryRevision) < dependencies.endpointFollower.getRevision();
+        // A peer that watches the store itself is about to receive a very recent change from its own watch.
+        const dependsOnPeers = digest.isFollowing || !digest.isStoreReachable;
+        const lacksEndpoints = hasOlderDirectory && (dependsOnPeers || dependencies.endpointFollower.isLatestChangePropagated());
         if (!lacksConfiguration && !lacksEndpoints) {
             return undefined;
         }
-        const configuration = parts.configuration.getTable()?.configuration;
-        const entries = parts.directory.listEntries();
-        const newer = entries.filter(entry => entry.revision > Number(digest.directoryRevision));
+        const configuration = dependencies.configuration.getTable()?.configuration;
+        const entries = dependencies.directory.listEntries();
+        const newerEntries = entries.filter(entry => entry.revision > Number(digest.directoryRevision));
         return {
             configurationJson: lacksConfiguration ? JSON.stringify(configuration) : "",
-            endpointsJson: lacksEndpoints ? JSON.stringify(newer) : "",
+            endpointsJson: lacksEndpoints ? JSON.stringify(newerEntries) : "",
             endpointIds: lacksEndpoints ? entries.map(({ entry }) => entry.id) : [],
-            directoryRevision: BigInt(parts.endpointFollower.getRevision()),
+            directoryRevision: BigInt(dependencies.endpointFollower.getRevision()),
         };
     }
 
     applyState(state: SharedState, source: string): void {
-        const { parts } = this;
+        const { dependencies } = this;
         if (state.configurationJson !== "") {
             const parsed = routeConfigurationSchema.safeParse(JSON.parse(state.configurationJson));
             if (parsed.success) {
-                parts.configurationFollower.applyConfiguration(parsed.data, source);
+                dependencies.configurationFollower.applyConfiguration(parsed.data, source);
             }
         }
         if (state.endpointsJson !== "") {
@@ -148,32 +149,32 @@
         }
     }
 
-    /** Takes a peer's newer entries; what its list of endpoints lacks was removed by its revision. */
+    /** Applies a peer's newer entries. Endpoints missing from its list had been removed by the revision that it reports. */
     private applyEntries(entries: readonly RevisedEntry[], state: SharedState, source: string): void {
-        const { parts } = this;
+        const { dependencies } = this;
         const revision = Number(state.directoryRevision);
-        entries.forEach(entry => parts.directory.applyEntry(entry, source));
-        const listed = new Set(state.endpointIds);
-        for (const known of parts.directory.listEntries()) {
-            if (!listed.has(known.entry.id) && known.revision < revision) {
-                parts.directory.removeEntry(known.entry.id, revision, source);
+        entries.forEach(entry => dependencies.directory.applyEntry(entry, source));
+        const listedIds = new Set(state.endpointIds);
+        for (const known of dependencies.directory.listEntries()) {
+            if (!listedIds.has(known.entry.id) && known.revision < revision) {
+                dependencies.directory.removeEntry(known.entry.id, revision, source);
             }
         }
-        parts.endpointFollower.recordRevision(revision);
+        dependencies.endpointFollower.recordRevision(revision);
     }
 
     private updateNodeCount(): void {
-        const count = this.parts.table.countServing();
-        this.parts.caps.setNodeCount(count);
-        this.parts.allowance.setNodeCount(count);
+        const count = this.dependencies.table.countServing();
+        this.dependencies.caps.setNodeCount(count);
+        this.dependencies.allowance.setNodeCount(count);
     }
 
     private isStoreCurrent(): boolean {
-        return this.parts.watches.every(watch => watch.isCurrent());
+        return this.dependencies.watches.every(watch => watch.isCurrent());
     }
 
     private listMembers() {
-        return this.parts.table.listHeard().map(peer => ({
+        return this.dependencies.table.listHeard().map(peer => ({
             name: peer.name,
             failureDomain: peer.failureDomain,
             address: peer.address,
@@ -182,7 +183,7 @@
     }
 
     private listSuspects() {
-        const { ledger } = this.parts;
+        const { ledger } = this.dependencies;
         const suspected = ledger.listRecords().map(record => ({
             fingerprint: record.fingerprint,
             endpoints: [...record.endpoints],
@@ -197,7 +198,7 @@
     }
 
     private applySuspect(suspect: GatewayDigest["suspects"][number], source: string): void {
-        const { ledger, log } = this.parts;
+        const { ledger, log } = this.dependencies;
         const { fingerprint, endpoints } = suspect;
         if (suspect.isCleared) {
             ledger.removeDeaths(fingerprint, endpoints);
@@ -210,31 +211,33 @@
     }
 
     private listPlacements(peer: GatewayPeer | undefined) {
-        const { news, plan } = this.parts;
+        const { news, plan } = this.dependencies;
         if (peer === undefined) {
             return [];
         }
-        const placements = news.listSince(peer.toldPlacements, { peer: peer.name, isRelay: plan.isRelay(peer) });
-        peer.toldPlacements = news.getSequence();
-        return placements.map(placed => ({ endpoint: placed.endpointId, parts: [...placed.parts] }));
+        const placements = news.listSince(peer.sentPlacementSequence, { peer: peer.name, isRelay: plan.isRelay(peer) });
+        peer.sentPlacementSequence = news.getSequence();
+        return placements.map(placement => ({ endpoint: placement.endpointId, parts: [...placement.parts] }));
     }
 
     private applyPlacements(peer: GatewayPeer, digest: GatewayDigest): void {
-        const { directory, news, plan } = this.parts;
+        const { directory, news, plan } = this.dependencies;
         const isRelaying = plan.isRelaying();
         const source = { peer: peer.name, isRelay: isRelaying && plan.isRelay(peer) };
-        for (const placed of digest.placements) {
-            const endpoint = directory.findEndpoint(placed.endpoint);
-            placed.parts.forEach(part => endpoint?.cache.recordPart(part));
+        for (const placement of digest.placements) {
+            const endpoint = directory.findEndpoint(placement.endpoint);
+            placement.parts.forEach(part => endpoint?.cache.recordPart(part));
             if (isRelaying) {
-                news.addNews({ endpointId: placed.endpoint, parts: placed.parts }, source);
+                news.addNews({ endpointId: placement.endpoint, parts: placement.parts }, source);
             }
         }
     }
 
-    /** Returns what this node counted; as a relay, for the holder of the duties, also what its group did. */
+    /** Returns this node's evidence on version moves; a relay also sends its group's evidence to the holder of the duty lease. */
     private listEvidence(peer: GatewayPeer | undefined) {
-        return this.parts.versions.listEvidence(this.isHoldersRelay(peer)).map(({ service, target, side, route, counts, node }) => ({
+        return this.dependencies.versions.listEvidence(this.isRelayToLeaseHolder(peer)).map((
+            { service, target, side, route, counts, node },
+        ) => ({
             service,
             target,
             isTarget: side === VersionSide.New,
@@ -249,34 +252,34 @@
     }
 
     private applyEvidence(peer: GatewayPeer, digest: GatewayDigest): void {
-        for (const told of digest.evidence) {
-            const { service, target, route, attempts, failures, timed, slow } = told;
-            const side = told.isTarget ? VersionSide.New : VersionSide.Old;
+        for (const report of digest.evidence) {
+            const { service, target, route, attempts, failures, timed, slow } = report;
+            const side = report.isTarget ? VersionSide.New : VersionSide.Old;
             const counts = { ...createEmptyCounts(), trials: attempts, failures, timed, slowFirstTokens: slow };
-            const node = told.node === "" ? peer : { name: told.node, incarnation: Number(told.incarnation) };
-            this.parts.versions.mergeEvidence({ service, target, side, route, counts, node });
+            const node = report.node === "" ? peer : { name: report.node, incarnation: Number(report.incarnation) };
+            this.dependencies.versions.mergeEvidence({ service, target, side, route, counts, node });
         }
     }
 
-    /** Whether this node brings the holder of the duties what others counted. */
-    private isHoldersRelay(peer: GatewayPeer | undefined): boolean {
-        return peer !== undefined && peer.name === this.getHolder() && this.parts.plan.isRelaying();
+    /** Returns whether the peer holds the duty lease and this node, as a relay, sends it the counts of other nodes. */
+    private isRelayToLeaseHolder(peer: GatewayPeer | undefined): boolean {
+        return peer !== undefined && peer.name === this.getLeaseHolder() && this.dependencies.plan.isRelaying();
     }
 
     private listUsage(peer: GatewayPeer | undefined) {
-        const { clock, usage, usageLedger, table } = this.parts;
+        const { clock, usage, usageLedger, table } = this.dependencies;
         const current = usage.getWindow(clock.getWallTime());
-        const live = new Set([...table.listHeard(), table.identity].map(describeLife));
-        // In a large fleet only the holder of the duties needs what others counted, and only of windows that have ended.
-        const hasRelays = this.parts.plan.hasRelays();
-        const tellsAll = hasRelays && this.isHoldersRelay(peer);
-        const isChosen = (source: string) => hasRelays ? tellsAll : !live.has(source);
+        const reachableIncarnations = new Set([...table.listHeard(), table.identity].map(describeLife));
+        // In a fleet with relays, only the holder of the duty lease needs other nodes' counts, and only for windows that have ended.
+        const hasRelays = this.dependencies.plan.hasRelays();
+        const reportsAllSources = hasRelays && this.isRelayToLeaseHolder(peer);
+        const isIncluded = (source: string) => hasRelays ? reportsAllSources : !reachableIncarnations.has(source);
         const windows: { window: bigint; source: string; teams: { team: string; requests: number; }[]; }[] = [];
-        for (let window = current - toldWindows + 1; window <= current; window += 1) {
+        for (let window = current - reportedWindowCount + 1; window <= current; window += 1) {
             windows.push({ window: BigInt(window), source: "", teams: usage.listUsage(window) });
-            const others = hasRelays && window === current ? [] : usageLedger.listSources(window, isChosen);
-            for (const other of others) {
-                windows.push({ window: BigInt(window), source: other.source, teams: [...other.usage] });
+            const storedSources = hasRelays && window === current ? [] : usageLedger.listSources(window, isIncluded);
+            for (const stored of storedSources) {
+                windows.push({ window: BigInt(window), source: stored.source, teams: [...stored.usage] });
             }
         }
         return windows;
--- a/src/gossip/gossip.test.ts
+++ b/src/gossip/gossip.test.ts
@@ -8,13 +8,13 @@
 
 const platform = RoutedPlatform.create();
 let first: RoutedGateway;
-let cutOff: RoutedGateway;
+let storelessGateway: RoutedGateway;
 
 before(async () => {
     await platform.start();
     first = await RoutedGateway.start(platform, { name: "first", peersPort: await pickFreePort() });
-    // Nothing listens at its store's address: all it knows comes from its peer.
-    cutOff = await RoutedGateway.start(platform, {
+    // Nothing listens at this store address, so all of this node's state comes from its peer.
+    storelessGateway = await RoutedGateway.start(platform, {
         name: "cut-off",
         storeAddress: "127.0.0.1:9",
         peersPort: await pickFreePort(),
@@ -23,23 +23,23 @@
 });
 
 after(async () => {
-    await Promise.all([first.stop(), cutOff.stop()]);
+    await Promise.all([first.stop(), storelessGateway.stop()]);
     await platform.stop();
 });
 
-test("a node that the store turns away serves by what its peer knows", async () => {
-    assert.equal((await cutOff.sendCall("/lookup/1")).status, 200);
+test("a node that cannot reach the store serves requests with the state received from its peer", async () => {
+    assert.equal((await storelessGateway.sendCall("/lookup/1")).status, 200);
 });
 
-test("a newer configuration reaches it, and an older one never does", async () => {
-    const configuration = cutOff.node.container.get(Keys.Configuration);
+test("a newer configuration reaches a node without store access, and its older one does not replace it on the peer", async () => {
+    const configuration = storelessGateway.node.container.get(Keys.Configuration);
     const version = platform.publishManifest();
     await waitUntil(() => configuration.getVersion() === version);
     assert.equal(first.node.container.get(Keys.Configuration).getVersion(), version);
 });
 
-test("an endpoint that leaves is left out there too, and one that is gone is removed", async () => {
-    const directory = cutOff.node.container.get(Keys.Directory);
+test("a node without store access stops using a draining endpoint and drops a removed one", async () => {
+    const directory = storelessGateway.node.container.get(Keys.Directory);
     const worker = platform.callWorkers[0] as RoutedWorker;
     worker.isDraining = true;
     platform.publishWorker(worker);
@@ -48,8 +48,8 @@
     await waitUntil(() => directory.findEndpoint(worker.id) === undefined);
 });
 
-test("changes that no watch was told of are found and passed on", async () => {
-    const configuration = cutOff.node.container.get(Keys.Configuration);
+test("a change that no store watch delivers is still detected and sent to peers", async () => {
+    const configuration = storelessGateway.node.container.get(Keys.Configuration);
     let version = 0;
     platform.store.applyUnseen(() => {
         version = platform.publishManifest();
@@ -57,13 +57,13 @@
     await waitUntil(() => configuration.getVersion() === version);
 });
 
-test("both count what the other lets pass, and know who holds the lease", async () => {
+test("a node lists its peer as reachable, and the peer records the lease holder without holding the lease itself", async () => {
     await waitUntil(() => first.node.container.get(Keys.Peers).listHeard().length === 1);
-    await waitUntil(() => cutOff.node.container.get(Keys.Lease).getHolder() === "first");
-    assert.equal(cutOff.node.container.get(Keys.Lease).getCredentials(), undefined);
+    await waitUntil(() => storelessGateway.node.container.get(Keys.Lease).getHolder() === "first");
+    assert.equal(storelessGateway.node.container.get(Keys.Lease).getCredentials(), undefined);
 });
 
-test("a node stops in time though its peers do not answer any more", async () => {
+test("a node stops although its last exchange with peers never completes", async () => {
     const stopping = await RoutedGateway.start(platform, { name: "stopping" });
     stopping.node.container.get(Keys.Gossip).publishNow = () => new Promise(() => {});
     let isStopped = false;
--- a/src/gossip/gossipExchange.ts
+++ b/src/gossip/gossipExchange.ts
@@ -6,106 +6,111 @@
 import { GossipLink } from "./gossipLink.js";
 import { PeerTable } from "./peerTable.js";
 import { RelayPlan } from "./relayPlan.js";
-import { GatewayDigest, GatewayDigestInit, GatewayExchangeAnswerInit, GatewayPeer, SharedState, SharedStateInit } from "./types.js";
+import { GatewayDigest, GatewayDigestInit, GatewayExchangeResponseInit, GatewayPeer, SharedState, SharedStateInit } from "./types.js";
 
-/** Longest pause between two tries to reach a peer that does not answer, in milliseconds. */
-const longestRetryPauseMilliseconds = 4_000;
+/** Maximum delay between two attempts to reach a peer that does not respond, in milliseconds. */
+const maximumRetryDelayMilliseconds = 4_000;
 
-/** What a node tells its peers and takes from them. */
-export interface GossipContent {
-    /** Creates the digest for one peer. */
+/** Builds the digests and state updates that a node sends, and applies those that it receives. */
+export interface DigestHandler {
+    /** Creates the digest for one peer; undefined stands for a node whose name is not known yet. */
     createDigest(peer: GatewayPeer | undefined): GatewayDigestInit;
-    /** Takes what a peer told. */
+    /** Merges a peer's digest. */
     applyDigest(peer: GatewayPeer, digest: GatewayDigest): void;
-    /** Returns what a peer lacks by its digest, or undefined. */
+    /** Returns the configuration and endpoints that a peer lacks according to its digest; undefined if it lacks nothing. */
     createStateFor(digest: GatewayDigest): SharedStateInit | undefined;
+    /** Applies the newer configuration or endpoints that the node named by `source` sent. */
     applyState(state: SharedState, source: string): void;
-    /** Returns the name of the node that holds the lease of the duties, as far as it is known. */
-    getHolder(): string;
+    /** Returns the name of the last known holder of the duty lease; empty if none is known. */
+    getLeaseHolder(): string;
 }
 
-/** Exchanges digests with the peers that the plan names, one task for each. */
+/**
+ * Runs the gossip protocol between gateways: exchanges digests at a fixed interval with the peers that the relay plan selects,
+ * one task for each peer, so that a slow peer does not delay the others.
+ */
 export class GossipExchange {
     private readonly stopping = new AbortController();
     private seeds: readonly NetworkAddress[] = [];
-    private readonly rounds = new Map<string, Promise<void>>();
+    private readonly tasksByPeer = new Map<string, Promise<void>>();
 
     private constructor(
         private readonly table: PeerTable,
-        private readonly link: GossipLink,
-        private readonly content: GossipContent,
+        private readonly client: GossipLink,
+        private readonly digestHandler: DigestHandler,
         private readonly plan: RelayPlan,
         private readonly clock: Clock,
         private readonly interval: number,
         private readonly log: EventLog,
     ) {}
 
-    /** The interval between two exchanges with one peer is in milliseconds. */
+    /** `interval` is the time between two exchanges with one peer, in milliseconds. */
     static create(
         table: PeerTable,
-        link: GossipLink,
-        content: GossipContent,
+        client: GossipLink,
+        digestHandler: DigestHandler,
         plan: RelayPlan,
         clock: Clock,
         interval: number,
         log: EventLog,
     ): GossipExchange {
-        return new GossipExchange(table, link, content, plan, clock, interval, log);
+        return new GossipExchange(table, client, digestHandler, plan, clock, interval, log);
     }
 
-    /** Sets addresses at which peers may be found while none is known. */
+    /** Sets the addresses to contact while no peer is reachable. */
     setSeeds(seeds: readonly NetworkAddress[]): void {
         this.seeds = seeds.filter(seed => formatAddress(seed) !== this.table.identity.address);
     }
 
-    /** Runs until stop is called: one task for each peer. */
+    /** Starts an exchange task for each selected peer, and checks the selection once an interval until `stop` is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
             if (this.table.listHeard().length === 0) {
                 await Promise.all(this.seeds.map(seed => this.exchangeAt(seed)));
             }
             for (const peer of this.listCallees()) {
-                if (!this.rounds.has(peer.name)) {
-                    this.rounds.set(peer.name, this.runPeer(peer).finally(() => this.rounds.delete(peer.name)));
+                if (!this.tasksByPeer.has(peer.name)) {
+                    this.tasksByPeer.set(peer.name, this.runPeerExchanges(peer).finally(() => this.tasksByPeer.delete(peer.name)));
                 }
             }
             await this.clock.sleep(this.interval, this.stopping.signal);
         }
     }
 
+    /** Ends the exchange tasks and closes the connections to peers. */
     stop(): void {
         this.stopping.abort();
-        this.link.stop();
+        this.client.stop();
     }
 
-    /** Tells every peer at once, whoever's turn it is; in a large fleet those that pass it on. */
+    /** Exchanges digests immediately with every reachable peer; in a fleet with relays, only with the peers that this node calls. */
     async publishNow(): Promise<void> {
         const peers = this.plan.hasRelays() ? this.listCallees() : this.table.listHeard();
         await Promise.all(peers.map(peer => this.exchangeWith(peer)));
     }
 
-    /** Answers a peer's digest. */
-    handleExchange(digest: GatewayDigest): GatewayExchangeAnswerInit {
+    /** Merges a peer's digest and returns this node's digest, with the state that the peer lacks. */
+    handleExchange(digest: GatewayDigest): GatewayExchangeResponseInit {
         this.applyDigest(digest);
         const peer = this.table.findPeer(digest.member?.name ?? "");
-        return { digest: this.content.createDigest(peer), state: this.content.createStateFor(digest) };
+        return { digest: this.digestHandler.createDigest(peer), state: this.digestHandler.createStateFor(digest) };
     }
 
-    /** Takes what a peer found lacking here. */
+    /** Applies state that a peer sent because this node's digest showed that it was missing here. */
     applyState(state: SharedState, source: string): void {
-        this.content.applyState(state, source);
+        this.digestHandler.applyState(state, source);
     }
 
-    private async runPeer(peer: GatewayPeer): Promise<void> {
+    private async runPeerExchanges(peer: GatewayPeer): Promise<void> {
         while (!this.stopping.signal.aborted && this.listCallees().includes(peer)) {
             await this.exchangeWith(peer);
-            const pause = Math.min(this.interval * 2 ** Math.min(peer.failuresInRow, 8), longestRetryPauseMilliseconds);
-            await this.clock.sleep(pause, this.stopping.signal);
+            const delay = Math.min(this.interval * 2 ** Math.min(peer.failuresInRow, 8), maximumRetryDelayMilliseconds);
+            await this.clock.sleep(delay, this.stopping.signal);
         }
     }
 
     private listCallees(): GatewayPeer[] {
-        return this.plan.listCallees(this.content.getHolder());
+        return this.plan.listCallees(this.digestHandler.getLeaseHolder());
     }
 
     private async exchangeWith(peer: GatewayPeer): Promise<void> {
@@ -113,46 +118,46 @@
         if (address === undefined) {
             return;
         }
-        const wasHeard = this.table.isHeard(peer);
-        const exchanged = await this.link.exchangeDigests(address, this.content.createDigest(peer));
+        const wasReachable = this.table.isHeard(peer);
+        const exchanged = await this.client.exchangeDigests(address, this.digestHandler.createDigest(peer));
         if (exchanged.err || exchanged.val.digest === undefined) {
             this.table.recordFailure(peer);
-            if (wasHeard && !this.table.isHeard(peer)) {
+            if (wasReachable && !this.table.isHeard(peer)) {
                 this.log.log(LogEvents.PeerChanged, { peer: peer.name, state: "lost", cause: exchanged.err ? exchanged.val.text : "" });
             }
             return;
         }
-        await this.settleExchange(address, exchanged.val.digest, exchanged.val.state);
+        await this.finishExchange(address, exchanged.val.digest, exchanged.val.state);
     }
 
-    /** Asks at an address whose node is not known yet. */
+    /** Exchanges digests with a seed address whose node name is not known yet. */
     private async exchangeAt(seed: NetworkAddress): Promise<void> {
-        const exchanged = await this.link.exchangeDigests(seed, this.content.createDigest(undefined));
+        const exchanged = await this.client.exchangeDigests(seed, this.digestHandler.createDigest(undefined));
         if (exchanged.ok && exchanged.val.digest !== undefined) {
-            await this.settleExchange(seed, exchanged.val.digest, exchanged.val.state);
+            await this.finishExchange(seed, exchanged.val.digest, exchanged.val.state);
         }
     }
 
-    private async settleExchange(address: NetworkAddress, digest: GatewayDigest, state: SharedState | undefined): Promise<void> {
+    private async finishExchange(address: NetworkAddress, digest: GatewayDigest, state: SharedState | undefined): Promise<void> {
         this.applyDigest(digest);
         if (state !== undefined) {
-            this.content.applyState(state, digest.member?.name ?? "");
+            this.digestHandler.applyState(state, digest.member?.name ?? "");
         }
-        const lacking = this.content.createStateFor(digest);
-        if (lacking !== undefined) {
-            await this.link.sendState(address, lacking);
+        const missingState = this.digestHandler.createStateFor(digest);
+        if (missingState !== undefined) {
+            await this.client.sendState(address, missingState);
         }
     }
 
     private applyDigest(digest: GatewayDigest): void {
-        const wasSilent = this.table.recordDigest(digest);
+        const wasUnreachable = this.table.recordDigest(digest);
         const peer = this.table.findPeer(digest.member?.name ?? "");
         if (peer === undefined) {
             return;
         }
-        if (wasSilent) {
+        if (wasUnreachable) {
             this.log.log(LogEvents.PeerChanged, { peer: peer.name, state: "heard", incarnation: peer.incarnation });
         }
-        this.content.applyDigest(peer, digest);
+        this.digestHandler.applyDigest(peer, digest);
     }
 }
--- a/src/gossip/gossipLink.ts
+++ b/src/gossip/gossipLink.ts
@@ -3,21 +3,22 @@
 import { NetworkAddress } from "../config/types.js";
 import { GatewayPeerService } from "../generated/corianderward/gateway/v1/gateway_pb.js";
 import { PeerSessions } from "../peers/peerSessions.js";
-import { GatewayDigestInit, GatewayExchange, GatewayExchangeInit, SharedStateInit } from "./types.js";
+import { GatewayDigestInit, GatewayExchange, GatewayExchangeRequestInit, SharedStateInit } from "./types.js";
 
-/** Time limit of one exchange in milliseconds: shorter than the silence after which a peer counts as lost. */
-const exchangeLimitMilliseconds = 1_000;
+/** Timeout of one exchange, in milliseconds: shorter than the silence limit after which a peer is considered unreachable. */
+const exchangeTimeoutMilliseconds = 1_000;
 
-/** The calls that a node makes on its peers. */
+/** Client for the requests that a node sends to its peers. */
 export interface GossipLink {
-    /** Tells the own digest; returns the peer's, with what this node lacks. */
+    /** Sends this node's digest; returns the peer's digest, with the state that this node lacks. */
     exchangeDigests(address: NetworkAddress, digest: GatewayDigestInit): Promise<Result<GatewayExchange, Failure>>;
-    /** Brings a peer what it lacks. */
+    /** Sends a peer the configuration or endpoints that it lacks. */
     sendState(address: NetworkAddress, state: SharedStateInit): Promise<Result<void, Failure>>;
+    /** Closes the connections to all peers. */
     stop(): void;
 }
 
-/** Calls peers over Connect. */
+/** Sends gossip requests to peers over Connect RPC. */
 export class ConnectGossipLink implements GossipLink {
     private constructor(private readonly sessions: PeerSessions<typeof GatewayPeerService>) {}
 
@@ -26,12 +27,12 @@
     }
 
     exchangeDigests(address: NetworkAddress, digest: GatewayDigestInit): Promise<Result<GatewayExchange, Failure>> {
-        const request: GatewayExchangeInit = { digest };
-        return this.sessions.send(address, client => client.exchange(request, { timeoutMs: exchangeLimitMilliseconds }));
+        const request: GatewayExchangeRequestInit = { digest };
+        return this.sessions.send(address, client => client.exchange(request, { timeoutMs: exchangeTimeoutMilliseconds }));
     }
 
     async sendState(address: NetworkAddress, state: SharedStateInit): Promise<Result<void, Failure>> {
-        const sent = await this.sessions.send(address, client => client.applyState(state, { timeoutMs: exchangeLimitMilliseconds }));
+        const sent = await this.sessions.send(address, client => client.applyState(state, { timeoutMs: exchangeTimeoutMilliseconds }));
         return sent.map(() => undefined);
     }
 
--- a/src/gossip/nodeRegistry.ts
+++ b/src/gossip/nodeRegistry.ts
@@ -7,10 +7,10 @@
 import { ObjectList, StoredObject, WriteOutcome } from "../provider/types.js";
 import { PeerIdentity, PeerTable } from "./peerTable.js";
 
-/** Prefix of the objects by which nodes find one another. */
+/** Prefix of the store objects in which nodes register, so that they discover one another. */
 export const nodePrefix = "nodes/";
-/** Pause after a registration that failed, in milliseconds. */
-const retryPauseMilliseconds = 1_000;
+/** Delay after a failed registration, in milliseconds. */
+const retryDelayMilliseconds = 1_000;
 
 const nodeSchema = z.object({
     name: z.string().min(1),
@@ -19,7 +19,7 @@
     incarnation: z.number(),
 });
 
-/** Registers this node in the store and finds the others there. */
+/** Registers this node in the store and discovers the other nodes from their entries there. */
 export class NodeRegistry implements ObjectHandler {
     private readonly stopping = new AbortController();
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Writes this node's entry until the store has it. */
+    /** Writes this node's entry to the store, with retries until it is stored or `stop` is called. */
     async registerNode(): Promise<void> {
         const { identity } = this.table;
         const name = nodePrefix + identity.name;
@@ -68,7 +68,7 @@
             if (await this.writeEntry(name, identity)) {
                 return;
             }
-            await this.clock.sleep(retryPauseMilliseconds, this.stopping.signal);
+            await this.clock.sleep(retryDelayMilliseconds, this.stopping.signal);
         }
     }
 
--- a/src/gossip/peerTable.ts
+++ b/src/gossip/peerTable.ts
@@ -1,7 +1,7 @@
 import { Clock } from "../common/clock.js";
 import { GatewayDigest, GatewayPeer, PeerState } from "./types.js";
 
-/** Where a node is reached. */
+/** Name, location and incarnation of a node. */
 export interface PeerIdentity {
     readonly name: string;
     readonly failureDomain: string;
@@ -9,30 +9,33 @@
     readonly incarnation: number;
 }
 
-/** Time after which a peer that was never heard, or no more, is not counted as a node that serves, in milliseconds. */
-const forgottenMilliseconds = 30_000;
+/** Time without contact, or since discovery, after which a peer no longer counts as a serving node, in milliseconds. */
+const servingTimeoutMilliseconds = 30_000;
 
-/** News that comes over relays is older by two exchanges: its sender counts as silent after this many times the limit. */
-const relayedSilenceFactor = 2;
-/** Time for which a node that was just found counts as alive, in milliseconds: its first exchanges take less. */
-const newMilliseconds = 5_000;
+/** Factor on the silence limit for peers seen only through relays, whose state arrives two exchanges later. */
+const relayedSilenceLimitFactor = 2;
+/** Time for which a newly discovered node is assumed to be up, in milliseconds: its first exchanges take less. */
+const recentDiscoveryMilliseconds = 5_000;
 
-/** Nodes that are taken to serve while none has been heard: what they use of shared limits is then not known. */
-const assumedNodes = 10;
+/** Number of serving nodes assumed before any peer was reached, since their share of the quotas is not known then. */
+const assumedNodeCount = 10;
 
-/** The other nodes, from the store, from the settings' seeds and from what peers tell of one another. */
+/**
+ * Table of the other nodes, with the time of the last contact and the last reported state of each. Peers are added from the
+ * store, from seed addresses and from the digests of other peers.
+ */
 export class PeerTable {
     private readonly peers = new Map<string, GatewayPeer>();
-    private readonly addedAt = new Map<string, number>();
+    private readonly discoveredAtByPeer = new Map<string, number>();
 
     private constructor(readonly identity: PeerIdentity, private readonly clock: Clock, private readonly silenceLimit: number) {}
 
-    /** The silence after which a peer counts as lost is in milliseconds. */
+    /** `silenceLimit` is the time without contact after which a peer is considered unreachable, in milliseconds. */
     static create(identity: PeerIdentity, clock: Clock, silenceLimit: number): PeerTable {
         return new PeerTable(identity, clock, silenceLimit);
     }
 
-    /** Adds a peer, or takes over a newer life or another address of it. */
+    /** Adds a peer, or updates its address and failure domain if the incarnation is newer. */
     addPeer(identity: PeerIdentity): void {
         if (identity.name === this.identity.name || identity.name === "" || identity.address === "") {
             return;
@@ -42,16 +45,16 @@
             this.peers.set(identity.name, {
                 ...identity,
                 heardAt: -Infinity,
-                failedAt: -Infinity,
+                lastFailedAt: -Infinity,
                 failuresInRow: 0,
                 isLeaving: false,
                 isStoreReachable: false,
                 holdsLease: false,
                 isDirect: true,
                 digest: undefined,
-                toldPlacements: 0,
+                sentPlacementSequence: 0,
             });
-            this.addedAt.set(identity.name, this.clock.getMonotonicTime());
+            this.discoveredAtByPeer.set(identity.name, this.clock.getMonotonicTime());
             return;
         }
         if (identity.incarnation > known.incarnation) {
@@ -59,7 +62,7 @@
             known.address = identity.address;
             known.failureDomain = identity.failureDomain;
             known.failuresInRow = 0;
-            known.toldPlacements = 0;
+            known.sentPlacementSequence = 0;
         }
     }
 
@@ -71,7 +74,7 @@
         return this.peers.get(name);
     }
 
-    /** Records what a peer told; returns whether it had been silent before. */
+    /** Merges a peer's digest and the members that it lists; returns whether the peer was considered unreachable until now. */
     recordDigest(digest: GatewayDigest): boolean {
         const member = digest.member;
         if (member === undefined || member.name === this.identity.name) {
@@ -82,7 +85,7 @@
         if (peer === undefined || Number(member.incarnation) < peer.incarnation) {
             return false;
         }
-        const wasSilent = !this.isHeard(peer);
+        const wasUnreachable = !this.isHeard(peer);
         peer.heardAt = this.clock.getMonotonicTime();
         peer.failuresInRow = 0;
         peer.isDirect = true;
@@ -93,37 +96,38 @@
         for (const other of digest.knownMembers) {
             this.addPeer({ ...other, incarnation: Number(other.incarnation) });
         }
-        return wasSilent;
+        return wasUnreachable;
     }
 
+    /** Records that an exchange with a peer failed. */
     recordFailure(peer: GatewayPeer): void {
-        peer.failedAt = this.clock.getMonotonicTime();
+        peer.lastFailedAt = this.clock.getMonotonicTime();
         peer.failuresInRow += 1;
     }
 
-    /** Records what a relay said of another node that it heard, so many milliseconds ago. */
-    recordSign(identity: PeerIdentity, age: number, state: PeerState): void {
+    /** Records the state of a node that a relay last saw `age` milliseconds ago; ignored if this node has a newer record. */
+    recordRelayedState(identity: PeerIdentity, age: number, state: PeerState): void {
         this.addPeer(identity);
         const peer = this.peers.get(identity.name);
-        const heardAt = this.clock.getMonotonicTime() - age;
-        if (peer === undefined || identity.incarnation < peer.incarnation || heardAt <= peer.heardAt) {
+        const lastSeenAt = this.clock.getMonotonicTime() - age;
+        if (peer === undefined || identity.incarnation < peer.incarnation || lastSeenAt <= peer.heardAt) {
             return;
         }
-        peer.heardAt = heardAt;
+        peer.heardAt = lastSeenAt;
         peer.isDirect = false;
         Object.assign(peer, state);
     }
 
-    /** Whether a peer was heard lately. */
+    /** Returns whether the last contact with a peer, direct or through a relay, is within the silence limit. */
     isHeard(peer: GatewayPeer): boolean {
-        const limit = this.silenceLimit * (peer.isDirect ? 1 : relayedSilenceFactor);
+        const limit = this.silenceLimit * (peer.isDirect ? 1 : relayedSilenceLimitFactor);
         return this.clock.getMonotonicTime() - peer.heardAt <= limit;
     }
 
-    /** Whether a peer was found a moment ago and has not failed to answer since. */
-    isNew(peer: GatewayPeer): boolean {
-        const age = this.clock.getMonotonicTime() - (this.addedAt.get(peer.name) ?? -Infinity);
-        return age <= newMilliseconds && peer.failuresInRow === 0;
+    /** Returns whether a peer was recently discovered and no exchange with it has failed since its last contact. */
+    isRecentlyDiscovered(peer: GatewayPeer): boolean {
+        const age = this.clock.getMonotonicTime() - (this.discoveredAtByPeer.get(peer.name) ?? -Infinity);
+        return age <= recentDiscoveryMilliseconds && peer.failuresInRow === 0;
     }
 
     listPeers(): GatewayPeer[] {
@@ -134,20 +138,20 @@
         return this.listPeers().filter(peer => this.isHeard(peer));
     }
 
-    /** Returns how many nodes may be serving, this one included: those that cannot be heard may serve all the same. */
+    /** Returns how many nodes may be serving, this one included: an unreachable node may still serve requests. */
     countServing(): number {
         const now = this.clock.getMonotonicTime();
         const serving = this.listPeers().filter(peer => {
-            const lastSign = Math.max(peer.heardAt, this.addedAt.get(peer.name) ?? -Infinity);
-            return now - lastSign <= forgottenMilliseconds;
+            const lastEvidenceAt = Math.max(peer.heardAt, this.discoveredAtByPeer.get(peer.name) ?? -Infinity);
+            return now - lastEvidenceAt <= servingTimeoutMilliseconds;
         });
         const count = serving.length + 1;
-        const isSettled = serving.some(peer => peer.heardAt > -Infinity);
-        return isSettled ? count : Math.max(count, assumedNodes);
+        const isAnyPeerSeen = serving.some(peer => peer.heardAt > -Infinity);
+        return isAnyPeerSeen ? count : Math.max(count, assumedNodeCount);
     }
 }
 
-/** Names one life of a node, as usage counts are kept by. */
+/** Formats the key of one incarnation of a node, under which its usage counts are kept. */
 export function describeLife(node: Pick<PeerIdentity, "name" | "incarnation">): string {
     return `${node.name}/${node.incarnation}`;
 }
--- a/src/gossip/relays.test.ts
+++ b/src/gossip/relays.test.ts
@@ -17,15 +17,15 @@
 const silenceMilliseconds = 2_000;
 const team = "shops";
 
-/** A node that tells what it adds up, over exchanges that the test makes. */
-class SummingNode {
+/** Node that aggregates loads and quota demand; the test runs its exchanges. */
+class GossipTestNode {
     readonly table: PeerTable;
     readonly plan: RelayPlan;
     readonly caps: SharedRateLimiter;
     readonly loads: SharedLoads;
     readonly directory: EndpointDirectory;
     isUp = true;
-    calls = 0;
+    exchangeCount = 0;
     private readonly sums: FleetSums;
 
     constructor(readonly name: string, readonly failureDomain: string, clock: VirtualClock) {
@@ -51,7 +51,7 @@
             member: { ...this.table.identity, incarnation: 1n },
             isStoreReachable: true,
             demands,
-            loads: this.loads.listOwn(),
+            loads: this.loads.listLocalLoads(),
             summary: this.sums.createSummary(peer),
         });
     }
@@ -65,12 +65,12 @@
     }
 }
 
-class SummingFleet {
-    readonly nodes: SummingNode[] = [];
+class GossipTestFleet {
+    readonly nodes: GossipTestNode[] = [];
 
     constructor(readonly clock: VirtualClock, count: number, domains: readonly string[]) {
         for (let index = 0; index < count; index += 1) {
-            this.nodes.push(new SummingNode(`n-${100 + index}`, domains[index % domains.length] as string, clock));
+            this.nodes.push(new GossipTestNode(`n-${100 + index}`, domains[index % domains.length] as string, clock));
         }
         for (const node of this.nodes) {
             this.nodes.forEach(other => node.table.addPeer(other.table.identity));
@@ -78,7 +78,7 @@
         }
     }
 
-    listUp(): SummingNode[] {
+    listUp(): GossipTestNode[] {
         return this.nodes.filter(node => node.isUp);
     }
 
@@ -91,9 +91,9 @@
         }
     }
 
-    private exchange(caller: SummingNode, peer: GatewayPeer): void {
+    private exchange(caller: GossipTestNode, peer: GatewayPeer): void {
         const callee = this.listUp().find(node => node.name === peer.name);
-        caller.calls += 1;
+        caller.exchangeCount += 1;
         if (callee === undefined) {
             caller.table.recordFailure(peer);
             return;
@@ -103,12 +103,12 @@
     }
 }
 
-function checkSums(fleet: SummingFleet): void {
-    const live = fleet.listUp().length;
+function checkSums(fleet: GossipTestFleet): void {
+    const upCount = fleet.listUp().length;
     for (const node of fleet.listUp()) {
-        const others = node.getEndpoint().sharedLoad.running;
-        assert.equal(others, live - 1, `${node.name} sees ${others} of ${live - 1} other requests`);
-        assert.equal(Math.round(node.table.listHeard().length), live - 1, `${node.name} hears ${node.table.listHeard().length}`);
+        const sharedRequests = node.getEndpoint().sharedLoad.running;
+        assert.equal(sharedRequests, upCount - 1, `${node.name} counts ${sharedRequests} of ${upCount - 1} requests of other nodes`);
+        assert.equal(Math.round(node.table.listHeard().length), upCount - 1, `${node.name} reaches ${node.table.listHeard().length} nodes`);
     }
 }
 
@@ -122,20 +122,20 @@
         "f",
     ]]] as const
 ) {
-    test(`every one of ${count} nodes counts every other one once, with few exchanges`, async () => {
-        const fleet = new SummingFleet(VirtualClock.create(), count, domains);
+    test(`each of ${count} nodes counts every other node exactly once, with at most 32 exchanges a round`, async () => {
+        const fleet = new GossipTestFleet(VirtualClock.create(), count, domains);
         await fleet.runRounds(8);
         checkSums(fleet);
         fleet.nodes.forEach(node => assert.equal(node.caps.listSums(() => true)[0]?.nodes, count, node.name));
-        fleet.nodes.forEach(node => (node.calls = 0));
+        fleet.nodes.forEach(node => (node.exchangeCount = 0));
         await fleet.runRounds(1);
-        const most = Math.max(...fleet.nodes.map(node => node.calls));
+        const most = Math.max(...fleet.nodes.map(node => node.exchangeCount));
         assert.equal(most <= 32, true, String(most));
     });
 }
 
-test("when relays end, their groups find others and count everyone once again", async () => {
-    const fleet = new SummingFleet(VirtualClock.create(), 74, ["a", "b", "c"]);
+test("after relays stop, their groups select others and count every node exactly once", async () => {
+    const fleet = new GossipTestFleet(VirtualClock.create(), 74, ["a", "b", "c"]);
     await fleet.runRounds(8);
     for (const node of fleet.nodes.filter(candidate => candidate.plan.isRelaying()).slice(0, 3)) {
         node.isUp = false;
@@ -144,8 +144,8 @@
     checkSums(fleet);
 });
 
-test("when most nodes end at once, the rest find one another, and all of them when they are back", async () => {
-    const fleet = new SummingFleet(VirtualClock.create(), 74, ["a", "b", "c"]);
+test("after most nodes stop at once, the rest reach one another, and reach all nodes once these run again", async () => {
+    const fleet = new GossipTestFleet(VirtualClock.create(), 74, ["a", "b", "c"]);
     await fleet.runRounds(8);
     fleet.nodes.filter((_node, index) => index % 4 !== 0).forEach(node => (node.isUp = false));
     await fleet.runRounds(40);
--- a/src/gossip/sharedLoads.ts
+++ b/src/gossip/sharedLoads.ts
@@ -1,24 +1,24 @@
 import { Clock } from "../common/clock.js";
 import { EndpointDirectory } from "../fleet/endpointDirectory.js";
 
-/** Load at one endpoint. */
-export interface EndpointLoadSum {
+/** Running requests and waiting prompt tokens at one endpoint. */
+export interface EndpointLoad {
     readonly endpoint: string;
     readonly running: number;
     readonly promptTokens: number;
 }
 
-/** Age after which what a source told of loads no longer counts, in milliseconds: requests of that time have mostly ended. */
-const loadAgeLimitMilliseconds = 4_000;
+/** Age after which a load report no longer counts, in milliseconds: most requests in it have ended by then. */
+const loadReportTimeoutMilliseconds = 4_000;
 
-interface ToldLoads {
-    readonly loads: readonly EndpointLoadSum[];
-    readonly at: number;
+interface LoadReport {
+    readonly loads: readonly EndpointLoad[];
+    readonly receivedAt: number;
 }
 
-/** What other nodes, or groups of them, have under way at each endpoint. */
+/** Adds up the load that other nodes, or groups of them, report for each endpoint, for the choice of the least loaded one. */
 export class SharedLoads {
-    private readonly sources = new Map<string, ToldLoads>();
+    private readonly reportsBySource = new Map<string, LoadReport>();
 
     private constructor(private readonly directory: EndpointDirectory, private readonly clock: Clock) {}
 
@@ -26,18 +26,19 @@
         return new SharedLoads(directory, clock);
     }
 
-    recordLoads(source: string, loads: readonly EndpointLoadSum[]): void {
-        this.sources.set(source, { loads, at: this.clock.getMonotonicTime() });
+    /** Replaces the load report of a source. */
+    recordLoads(source: string, loads: readonly EndpointLoad[]): void {
+        this.reportsBySource.set(source, { loads, receivedAt: this.clock.getMonotonicTime() });
         this.updateEndpoints();
     }
 
-    /** Forgets the sources that a check does not name: their nodes are counted elsewhere. */
-    removeOthers(isKept: (source: string) => boolean): void {
-        [...this.sources.keys()].filter(source => !isKept(source)).forEach(source => this.sources.delete(source));
+    /** Removes the sources for which `isKept` returns false, because the report of another source contains them. */
+    removeSourcesExcept(isKept: (source: string) => boolean): void {
+        [...this.reportsBySource.keys()].filter(source => !isKept(source)).forEach(source => this.reportsBySource.delete(source));
     }
 
-    /** Returns what this node itself has under way. */
-    listOwn(): EndpointLoadSum[] {
+    /** Returns the load of this node's own requests. */
+    listLocalLoads(): EndpointLoad[] {
         return this.directory.listAll().filter(endpoint => endpoint.running > 0).map(endpoint => ({
             endpoint: endpoint.entry.id,
             running: endpoint.running,
@@ -45,9 +46,9 @@
         }));
     }
 
-    /** Returns the sum of this node's and the chosen sources' loads. */
-    listSums(isCounted: (source: string) => boolean): EndpointLoadSum[] {
-        return [...this.computeSums(this.listOwn(), isCounted).values()];
+    /** Returns the total load of this node and of the sources for which `isCounted` returns true. */
+    listSums(isCounted: (source: string) => boolean): EndpointLoad[] {
+        return [...this.computeSums(this.listLocalLoads(), isCounted).values()];
     }
 
     private updateEndpoints(): void {
@@ -57,11 +58,13 @@
         }
     }
 
-    private computeSums(own: readonly EndpointLoadSum[], isCounted: (source: string) => boolean): Map<string, EndpointLoadSum> {
-        const oldest = this.clock.getMonotonicTime() - loadAgeLimitMilliseconds;
-        const counted = [...this.sources].filter(([source, told]) => isCounted(source) && told.at >= oldest).map(([, told]) => told.loads);
-        const sums = new Map<string, EndpointLoadSum>();
-        for (const load of [own, ...counted].flat()) {
+    private computeSums(localLoads: readonly EndpointLoad[], isCounted: (source: string) => boolean): Map<string, EndpointLoad> {
+        const oldestReceivedAt = this.clock.getMonotonicTime() - loadReportTimeoutMilliseconds;
+        const countedLoads = [...this.reportsBySource].filter(([source, report]) =>
+            isCounted(source) && report.receivedAt >= oldestReceivedAt
+        ).map(([, report]) => report.loads);
+        const sums = new Map<string, EndpointLoad>();
+        for (const load of [localLoads, ...countedLoads].flat()) {
             const sum = sums.get(load.endpoint);
             sums.set(load.endpoint, {
                 endpoint: load.endpoint,
--- a/src/gossip/types.ts
+++ b/src/gossip/types.ts
@@ -13,36 +13,36 @@
 export type { GatewayDigest, SharedState };
 export type GatewayExchange = GatewayExchangeResponse;
 export type GatewayDigestInit = MessageInitShape<typeof GatewayDigestSchema>;
-export type GatewayExchangeInit = MessageInitShape<typeof GatewayExchangeRequestSchema>;
-export type GatewayExchangeAnswerInit = MessageInitShape<typeof GatewayExchangeResponseSchema>;
+export type GatewayExchangeRequestInit = MessageInitShape<typeof GatewayExchangeRequestSchema>;
+export type GatewayExchangeResponseInit = MessageInitShape<typeof GatewayExchangeResponseSchema>;
 export type FleetSummaryInit = MessageInitShape<typeof FleetSummarySchema>;
 export type SharedStateInit = MessageInitShape<typeof SharedStateSchema>;
 
-/** What a peer says of itself. */
+/** State that a peer reports about itself. */
 export interface PeerState {
     isLeaving: boolean;
-    /** Whether its watches of the store are current. */
+    /** Whether its store watches are current. */
     isStoreReachable: boolean;
-    /** Whether it says that it holds the lease of the duties. */
+    /** Whether it reports that it holds the duty lease. */
     holdsLease: boolean;
 }
 
-/** Another node of the deployment. Times are monotonic milliseconds. */
+/** Record of another node of the deployment. Times are monotonic milliseconds. */
 export interface GatewayPeer extends PeerState {
     readonly name: string;
     failureDomain: string;
     address: string;
-    /** Start time of its process in Unix milliseconds; 0 while unknown. */
+    /** Start time of its process, in Unix milliseconds; 0 while unknown. */
     incarnation: number;
-    /** When it was last heard, by this node or by a relay; -Infinity before. */
+    /** Time of the last contact with this node or with a relay; -Infinity before the first. */
     heardAt: number;
-    /** Whether this node heard it itself. */
+    /** Whether the last contact was with this node and not with a relay. */
     isDirect: boolean;
-    /** When it was last tried without an answer. */
-    failedAt: number;
+    /** Time of the last failed exchange; -Infinity before the first. */
+    lastFailedAt: number;
     failuresInRow: number;
-    /** What it last told this node; undefined before. */
+    /** Last digest that this node received from it; undefined before the first. */
     digest: GatewayDigest | undefined;
-    /** Sequence of the last own placement that it has been told. */
-    toldPlacements: number;
+    /** Sequence number of the last placement update that this node has sent to it. */
+    sentPlacementSequence: number;
 }
--- a/src/gossip/watchPacing.test.ts
+++ b/src/gossip/watchPacing.test.ts
@@ -14,20 +14,20 @@
     return table;
 }
 
-test("whatever wakes the watches together, some watch ends within 1.3 seconds, at 9 nodes and at 74", async () => {
+test("some store watch ends within 1.3 seconds of any time, with 2, 9 and 74 nodes", async () => {
     for (const count of [2, 9, 74]) {
         const clock = VirtualClock.create();
         const names = Array.from({ length: count }, (_unused, index) => `node-${String(index).padStart(3, "0")}`);
         const pacings = names.map(name => WatchPacing.create(createTable(name, names, clock), clock));
         for (let time = 0; time < 30_000; time += 137) {
             await clock.runUntil(time);
-            const first = Math.min(...pacings.map(pacing => pacing.computeWait()));
-            assert.equal(first <= 1_300, true, `${count} nodes at ${time}: ${first}`);
+            const earliestEnd = Math.min(...pacings.map(pacing => pacing.computeWait()));
+            assert.equal(earliestEnd <= 1_300, true, `${count} nodes at ${time}: ${earliestEnd}`);
         }
     }
 });
 
-test("a node that hears nobody watches for itself", () => {
+test("a node without reachable peers uses watches of at most 1.3 seconds", () => {
     const clock = VirtualClock.create();
     const table = PeerTable.create({ name: "a", failureDomain: "x", address: "127.0.0.1:1", incarnation: 1 }, clock, 2_000);
     assert.equal(WatchPacing.create(table, clock).computeWait() <= 1_300, true);
