--- a/src/routes/configurationFollower.ts
+++ b/src/routes/configurationFollower.ts
@@ -6,14 +6,15 @@
 import { ConfigurationHolder } from "./configurationHolder.js";
 import { RouteConfiguration } from "./types.js";
 
-/** Reads the operator's configuration from the form in which a deployment stores it; fails with every fault. */
+/** Decodes the operator's configuration from the format in which a deployment stores it. */
 export interface ConfigurationDecoder {
     /** Name of the object that holds the configuration. */
     readonly objectName: string;
+    /** Returns the configuration, or a description of every fault. */
     decodeConfiguration(value: unknown): Result<RouteConfiguration, string[]>;
 }
 
-/** Puts in force what the operator writes to the store. */
+/** Applies the configuration that the operator writes to the store. */
 export class ConfigurationFollower implements ObjectHandler {
     private constructor(
         private readonly holder: ConfigurationHolder,
@@ -41,10 +42,10 @@
         this.applyConfiguration(decoded.val, "store");
     }
 
-    /** A configuration that was removed stays in force until there is another. */
+    /** Ignores the removal: the last configuration stays in force until another one is written. */
     handleRemoval(): void {}
 
-    /** Puts a configuration in force if it is newer. */
+    /** Applies a configuration if its version is newer; `source` is the store or the name of a peer. */
     applyConfiguration(configuration: RouteConfiguration, source: string): void {
         const before = this.holder.getVersion();
         if (!this.holder.applyConfiguration(configuration)) {
--- a/src/routes/configurationHolder.ts
+++ b/src/routes/configurationHolder.ts
@@ -1,10 +1,13 @@
 import { RouteTable } from "./routeTable.js";
 import { RouteConfiguration } from "./types.js";
 
-/** Called after a newer configuration came into force. */
+/** Called after a newer configuration has been applied. */
 export type ConfigurationListener = (table: RouteTable) => void;
 
-/** The configuration in force on a node. The highest version wins, whoever brings it; an older one is never applied. */
+/**
+ * Holds the configuration in force on a node. The highest version wins, whether it comes from the store or a peer; an older
+ * one is never applied.
+ */
 export class ConfigurationHolder {
     private table: RouteTable | undefined;
     private readonly listeners: ConfigurationListener[] = [];
@@ -15,10 +18,12 @@
         return new ConfigurationHolder();
     }
 
+    /** Returns the table of the configuration in force; undefined before the first one. */
     getTable(): RouteTable | undefined {
         return this.table;
     }
 
+    /** Returns the version in force; 0 before the first one. */
     getVersion(): number {
         return this.table?.configuration.version ?? 0;
     }
@@ -27,7 +32,7 @@
         this.listeners.push(listener);
     }
 
-    /** Puts a configuration in force if it is newer than the present one; says whether it was. */
+    /** Applies a configuration if its version is newer than the one in force; returns whether it was applied. */
     applyConfiguration(configuration: RouteConfiguration): boolean {
         if (this.table !== undefined && configuration.version <= this.table.configuration.version) {
             return false;
--- a/src/routes/routeTable.test.ts
+++ b/src/routes/routeTable.test.ts
@@ -4,7 +4,7 @@
 import { ConfigurationHolder } from "./configurationHolder.js";
 import { RouteTable } from "./routeTable.js";
 
-test("the longest prefix of whole path segments wins, per host, and the query is not part of the path", () => {
+test("the longest prefix of whole path segments of the host matches, and the query is ignored", () => {
     const table = RouteTable.create(createRouteConfiguration(1, [
         createRoute({ name: "root", pathPrefix: "/" }),
         createRoute({ name: "outer", pathPrefix: "/a/" }),
@@ -21,7 +21,7 @@
     assert.equal(findName("third.example", "/a/"), undefined);
 });
 
-test("an older configuration is never applied, whoever brings it", () => {
+test("a configuration with an older or equal version is never applied", () => {
     const holder = ConfigurationHolder.create();
     const versions: number[] = [];
     holder.addListener(table => versions.push(table.configuration.version));
--- a/src/routes/routeTable.ts
+++ b/src/routes/routeTable.ts
@@ -1,7 +1,7 @@
 import { RandomSource } from "../common/random.js";
 import { Route, RouteConfiguration, RoutedService, RoutedTeam } from "./types.js";
 
-/** One version of the configuration, indexed for the data path. */
+/** One version of the configuration, indexed for lookups on each request. */
 export class RouteTable {
     private readonly routesByHost = new Map<string, Map<string, Route>>();
     private readonly teamsByKey = new Map<string, RoutedTeam>();
@@ -27,7 +27,7 @@
         return new RouteTable(configuration);
     }
 
-    /** Returns the route with the longest prefix of a request target's path, or undefined. */
+    /** Returns the host's route with the longest path prefix that matches the request target; undefined if none matches. */
     findRoute(host: string, target: string): Route | undefined {
         const prefixes = this.routesByHost.get(host);
         if (prefixes === undefined) {
@@ -63,17 +63,17 @@
     }
 }
 
-/** Draws the service that serves one request of a route, in proportion to the weights. */
+/** Picks the service for one request of a route at random, in proportion to the weights. */
 export function pickService(route: Route, random: RandomSource): string {
     const first = route.shares[0];
     if (first !== undefined && route.shares.length === 1) {
         return first.service;
     }
     const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
-    let point = random.pickFraction() * total;
+    let remainingWeight = random.pickFraction() * total;
     for (const share of route.shares) {
-        point -= share.weight;
-        if (point < 0) {
+        remainingWeight -= share.weight;
+        if (remainingWeight < 0) {
             return share.service;
         }
     }
--- a/src/routes/types.ts
+++ b/src/routes/types.ts
@@ -1,12 +1,12 @@
 import { z } from "zod";
 
-/** What may be repeated on a route. */
+/** Whether requests on a route may be retried. */
 export enum RouteKind {
-    /** Idempotent calls: they may run more than once. */
+    /** Idempotent requests, which may run more than once. */
     Safe = "safe",
-    /** Calls with an effect: they may run at most once for each attempt of the caller. */
+    /** Requests with side effects, which may run at most once for each attempt of the caller. */
     Unsafe = "unsafe",
-    /** Event streams; they run once unless the route is resumable. */
+    /** Event streams, which run once unless the route is resumable. */
     Stream = "stream",
 }
 
@@ -16,7 +16,7 @@
     Tokens = "tokens",
 }
 
-/** The part of a route's traffic that one service gets; only the proportions of the weights matter. */
+/** Share of a route's traffic for one service; only the ratio of the weights matters. */
 const serviceShareSchema = z.object({ service: z.string().min(1), weight: z.number().min(0) });
 
 /** How requests of one host and path prefix are served. Times are in milliseconds. */
@@ -26,61 +26,61 @@
     /** Begins and ends with a slash. */
     pathPrefix: z.string().regex(/^\/(.*\/)?$/),
     kind: z.enum(RouteKind),
-    /** Longest time that a caller is kept waiting for the end of its answer. */
+    /** Maximum time until the end of the response. */
     timeLimit: z.number().positive(),
-    /** Latency objective: for a stream the time to its first event, otherwise to the whole answer. */
+    /** Latency objective: the time to the first event of a stream, otherwise to the end of the response. */
     objective: z.number().positive(),
     /** 0 is the most urgent. */
     priority: z.number().int().min(0),
     shares: z.array(serviceShareSchema).min(1),
-    /** Most endpoints that may run one attempt of a caller. */
+    /** Maximum number of endpoints that may run one attempt of a caller. */
     attempts: z.number().int().min(1),
-    /** Whether requests need no key. */
+    /** Whether requests are accepted without a key. */
     isPublic: z.boolean(),
-    /** Whether a stream may go on at another endpoint after its last event. */
+    /** Whether a stream may resume at another endpoint after its last event. */
     isResumable: z.boolean(),
 });
 
-/** What an operator declares of a model engine: requests in one batch, and tokens that its KV memory holds. */
+/** Declared capacity of a model engine: requests in one batch, and tokens in its KV memory. */
 const engineTraitsSchema = z.object({ slots: z.number().int().positive(), memoryTokens: z.number().positive() });
 
-/** Bounds of the number of endpoints in each failure domain. */
+/** Bounds on the number of endpoints in each failure domain, with boot time and prices. */
 const scalingBoundsSchema = z.object({
     minimum: z.number().int().min(0),
     maximum: z.number().int().min(0),
-    /** Seconds from an order to a serving endpoint. */
+    /** Seconds from an order until the endpoint serves requests. */
     bootSeconds: z.number().min(0),
-    /** Price of a reclaimable endpoint as a share of an on-demand one; absent where there are none. */
+    /** Price of a reclaimable endpoint as a share of the on-demand price; absent if none can be ordered. */
     reclaimablePrice: z.number().min(0).optional(),
-    /** Price of an endpoint in each failure domain. */
+    /** On-demand price of an endpoint in each failure domain. */
     domainPrices: z.array(z.object({ failureDomain: z.string().min(1), price: z.number().min(0) })),
 });
 
-/** A service that routes lead to. */
+/** A service to which routes send requests. */
 export const routedServiceSchema = z.object({
     name: z.string().min(1),
     healthPath: z.string().min(1),
-    /** Connections that one endpoint accepts from all nodes together. */
+    /** Maximum number of connections that one endpoint accepts from all nodes together. */
     connectionLimit: z.number().int().positive(),
     engine: engineTraitsSchema.optional(),
     scaling: scalingBoundsSchema.optional(),
 });
 
-/** A team whose members call with keys. */
+/** A team, whose callers authenticate with its keys. */
 export const routedTeamSchema = z.object({
     name: z.string().min(1),
     keys: z.array(z.string().min(1)),
-    /** Goes before the route's priority where it is given. */
+    /** Overrides the route's priority if present. */
     priority: z.number().int().min(0).optional(),
     unit: z.enum(UsageUnit),
-    /** What a request without token counts counts as. */
+    /** Tokens charged for a request without token counts. */
     plainTokens: z.number().min(0),
-    /** Units a second over all nodes; 0 is no cap. */
+    /** Units per second over all nodes; 0 means no cap. */
     rate: z.number().min(0),
     burst: z.number().min(0),
 });
 
-/** Bounds of what a caller may send, in bytes and milliseconds. */
+/** Limits on a caller's request: sizes in bytes, timeouts in milliseconds. */
 const callerLimitsSchema = z.object({
     headerBytes: z.number().int().positive(),
     bodyBytes: z.number().int().positive(),
@@ -88,7 +88,7 @@
     idleTimeout: z.number().positive(),
 });
 
-/** Everything that the operator has put in force, as one version. */
+/** One version of the operator's complete configuration. */
 export const routeConfigurationSchema = z.object({
     version: z.number().int().positive(),
     routes: z.array(routeSchema),
