--- a/src/placement/callPlacement.ts
+++ b/src/placement/callPlacement.ts
@@ -1,46 +1,47 @@
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
 import { PlacementCost, PlacementPolicy, PlacementQuery } from "./types.js";
 
-/** Weight of the newest time in the mean time of a service's calls. */
-const timeWeight = 0.05;
-/** Cost of an endpoint that fails often, in milliseconds: any healthy one is better. */
+/** Weight of the latest call time in the exponential moving average of a service's call times. */
+const callTimeSmoothingFactor = 0.05;
+/** Cost added to an unhealthy endpoint, in milliseconds; large enough that any healthy endpoint is preferred. */
 const unhealthyPenaltyMilliseconds = 1_000;
-/** How long a load told by an endpoint counts beside the node's own counts, in milliseconds: about the time of one call. */
+/** Age up to which the load reported by an endpoint is used beside this node's own count, in milliseconds: about the time of one call. */
 const reportedLoadAgeLimitMilliseconds = 200;
 
-/** Speeds of plain services and what routing weighs, in milliseconds. */
-export interface CallSpeeds {
-    /** Time of a call before any was measured. */
+/** Settings of the cost estimate for calls to plain services. Times are in milliseconds. */
+export interface CallCostSettings {
+    /** Assumed time of a call to a service for which none has been measured yet. */
     readonly initialCallTime: number;
-    /** What sending to another failure domain is worth avoiding. */
+    /** Cost added to an endpoint in another failure domain than this node. */
     readonly domainPenalty: number;
 }
 
-/** Places calls to plain services where a slot is free or the queue is shortest. */
+/** Estimates costs for calls to plain services, so that calls go to endpoints with a free slot or the shortest queue. */
 export class CallPlacement implements PlacementPolicy {
     private readonly callTimes = new Map<string, number>();
 
     private constructor(
-        private readonly speeds: CallSpeeds,
+        private readonly settings: CallCostSettings,
         private readonly failureDomain: string,
         private readonly getTime: () => number,
     ) {}
 
-    static create(speeds: CallSpeeds, failureDomain: string, getTime: () => number): CallPlacement {
-        return new CallPlacement(speeds, failureDomain, getTime);
+    static create(settings: CallCostSettings, failureDomain: string, getTime: () => number): CallPlacement {
+        return new CallPlacement(settings, failureDomain, getTime);
     }
 
-    /** Records how long a call took at an endpoint that had a free slot. */
+    /** Records the duration of a call that did not queue because its endpoint had a free slot. */
     recordCallTime(service: string, milliseconds: number): void {
-        const known = this.getCallTime(service);
-        this.callTimes.set(service, known + (milliseconds - known) * timeWeight);
+        const average = this.getCallTime(service);
+        this.callTimes.set(service, average + (milliseconds - average) * callTimeSmoothingFactor);
     }
 
+    /** Returns the average time of a service's calls, in milliseconds. */
     getCallTime(service: string): number {
-        return this.callTimes.get(service) ?? this.speeds.initialCallTime;
+        return this.callTimes.get(service) ?? this.settings.initialCallTime;
     }
 
-    /** A call holds its slot for the same time whenever it runs, so it may wait for as long as its caller does. */
+    /** A call occupies its slot equally long however long it queued, so it may queue for as long as its caller waits. */
     computeLongestWait(query: PlacementQuery): number {
         return query.timeLeft;
     }
@@ -51,27 +52,28 @@
 
     private computeCost(endpoint: FleetEndpoint, query: PlacementQuery): PlacementCost {
         const callTime = this.getCallTime(query.service);
-        const before = this.countRequests(endpoint);
-        const waiting = Math.max(0, before + 1 - endpoint.entry.slots);
+        const requestCount = this.countRequests(endpoint);
+        const waiting = Math.max(0, requestCount + 1 - endpoint.entry.slots);
         const expectedTime = (waiting / endpoint.entry.slots + 1) * callTime * endpoint.getLatencyRatio();
         let fixedCost = callTime * endpoint.getFailureShare();
         if (endpoint.entry.failureDomain !== this.failureDomain) {
-            fixedCost += this.speeds.domainPenalty;
+            fixedCost += this.settings.domainPenalty;
         }
         if (endpoint.isUnhealthy()) {
             fixedCost += unhealthyPenaltyMilliseconds;
         }
-        // Below its slots a busier endpoint is a little worse: what other nodes send there now is not known yet.
-        const cost = fixedCost + expectedTime + callTime * before / endpoint.entry.slots / 2;
+        // Below its slot count a busier endpoint costs slightly more: calls that other nodes are sending to it are not counted yet.
+        const cost = fixedCost + expectedTime + callTime * requestCount / endpoint.entry.slots / 2;
         return { cost, fixedCost, expectedTime, tokensToRead: 0, cacheSource: undefined };
     }
 
+    /** Returns the larger of this node's count of requests at an endpoint and the endpoint's own recent report. */
     private countRequests(endpoint: FleetEndpoint): number {
-        const counted = endpoint.countRequests();
+        const localCount = endpoint.countRequests();
         const isFresh = this.getTime() - endpoint.reportedAt < reportedLoadAgeLimitMilliseconds;
         if (!isFresh || endpoint.reportedLoad === undefined) {
-            return counted;
+            return localCount;
         }
-        return Math.max(counted, endpoint.reportedLoad.running + endpoint.reportedLoad.waiting);
+        return Math.max(localCount, endpoint.reportedLoad.running + endpoint.reportedLoad.waiting);
     }
 }
--- a/src/placement/endpointChooser.ts
+++ b/src/placement/endpointChooser.ts
@@ -8,31 +8,32 @@
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
 import { Placement, PlacementCost, PlacementPolicy, PlacementQuery } from "./types.js";
 
-/** Parts of the caller's time left that the expected time may take: what is expected later than that is not served in time. */
+/** Share of the caller's remaining time that the expected time may take; the rest is a margin for errors of the estimate. */
 const usableShareOfTimeLeft = 0.9;
-/** Costs that differ by less, in milliseconds, count as equal, so that nodes with the same reports spread their choices. */
-const equalCostMilliseconds = 2;
-/** Requests of this node that one of an endpoint's connections may wait for; the limit of connections is shared by all nodes. */
-const spareConnections = 2;
+/** Difference, in milliseconds, below which costs count as equal, so that nodes with the same load reports spread their choices. */
+const equalCostToleranceMilliseconds = 2;
+/** Connections to an endpoint that this node leaves unused below its limit, because all nodes share the endpoint's connection limit. */
+const reservedConnections = 2;
 
-/** Options that are compared for one request: two by chance beside the nearest keep queues nearly as short as all would. */
+/** Options compared for one request; the lowest fixed cost and two random ones already keep queues nearly as short as comparing all. */
 const sampleSize = 4;
 
+/** A candidate endpoint with its estimated cost. */
 type PlacementOption = Placement & PlacementCost;
 
-/** Reads how many connections one node may open to an endpoint of a service. */
+/** Returns how many connections one node may open to each endpoint of a service. */
 export type ConnectionLimitSource = (service: string) => number;
 
-/** Says which endpoints may serve a request. */
+/** Restricts and orders the endpoints that may serve a request, for example while a service moves between versions. */
 export interface EndpointTraffic {
-    /** Returns groups of endpoints in the order in which they are to be tried. */
+    /** Returns groups of endpoints in order of preference; endpoints in no group must not receive the request. */
     listGroups(query: PlacementQuery, endpoints: readonly FleetEndpoint[]): (readonly FleetEndpoint[])[];
 }
 
-/** Any endpoint may serve any request. */
-const allEndpoints: EndpointTraffic = { listGroups: (_query, endpoints) => [endpoints] };
+/** Puts all endpoints into one group: any of them may serve any request. */
+const singleGroupSource: EndpointTraffic = { listGroups: (_query, endpoints) => [endpoints] };
 
-/** Chooses the endpoint for each request among those that may have it. */
+/** Chooses the endpoint for each request by the costs that the service's placement policy estimates. */
 export class EndpointChooser {
     private constructor(
         private readonly directory: EndpointDirectory,
@@ -49,18 +50,18 @@
         random: RandomSource,
         getPolicy: (service: string) => PlacementPolicy,
         getConnectionLimit: ConnectionLimitSource,
-        traffic: EndpointTraffic = allEndpoints,
+        traffic: EndpointTraffic = singleGroupSource,
     ): EndpointChooser {
         return new EndpointChooser(directory, clock, random, getPolicy, getConnectionLimit, traffic);
     }
 
-    /** Chooses an endpoint, or fails when none is there or none is expected to serve the request in time. */
+    /** Chooses an endpoint; fails when no endpoint is available or none is expected to serve the request before its deadline. */
     choosePlacement(query: PlacementQuery): Result<Placement, Failure> {
         let result: Result<Placement, Failure> = Err(
             Failure.create(Verdict.NotRun, Diagnostics.No_endpoint_is_available_for_service_0, query.service),
         );
         for (const group of this.traffic.listGroups(query, this.directory.listEndpoints(query.service))) {
-            const placement = this.choosePlacementAmong(group, query);
+            const placement = this.choosePlacementInGroup(group, query);
             if (placement?.ok === true) {
                 return placement;
             }
@@ -69,14 +70,14 @@
         return result;
     }
 
-    /** Chooses among endpoints of which each may have the request; undefined when none is available. */
-    private choosePlacementAmong(group: readonly FleetEndpoint[], query: PlacementQuery): Result<Placement, Failure> | undefined {
+    /** Chooses an endpoint of one group; undefined when the group has none that can take the request. */
+    private choosePlacementInGroup(group: readonly FleetEndpoint[], query: PlacementQuery): Result<Placement, Failure> | undefined {
         const best = this.selectBest(this.pickSample(this.listOptions(group, query)));
         if (best === undefined) {
             return undefined;
         }
-        const longest = Math.min(query.timeLeft * usableShareOfTimeLeft, this.getPolicy(query.service).computeLongestWait(query));
-        if (best.expectedTime > longest) {
+        const longestWait = Math.min(query.timeLeft * usableShareOfTimeLeft, this.getPolicy(query.service).computeLongestWait(query));
+        if (best.expectedTime > longestWait) {
             const wait = Math.round(best.expectedTime);
             return Err(Failure.create(Verdict.NotRun, Diagnostics.Expected_wait_of_0_milliseconds_passes_the_deadline, wait));
         }
@@ -92,16 +93,16 @@
     }
 
     /**
-     * Picks the options that are compared: the one that suits best whatever its load, and some others by chance. Nodes that
-     * know the same loads, all a little old, would otherwise send everything to one endpoint until they hear of it.
+     * Picks the options to compare: the one with the lowest fixed cost and some random ones. If all were compared, nodes with
+     * the same slightly outdated load reports would send every request to one endpoint until the next reports arrive.
      */
     private pickSample(options: readonly PlacementOption[]): PlacementOption[] {
         if (options.length <= sampleSize) {
             return [...options];
         }
-        const nearest = options.reduce((best, option) => (option.fixedCost < best.fixedCost ? option : best));
-        const sample = [nearest];
-        const rest = options.filter(option => option !== nearest);
+        const lowestFixedCost = options.reduce((best, option) => (option.fixedCost < best.fixedCost ? option : best));
+        const sample = [lowestFixedCost];
+        const rest = options.filter(option => option !== lowestFixedCost);
         while (sample.length < sampleSize) {
             const [picked] = rest.splice(this.random.pickIndex(rest.length), 1);
             sample.push(picked as PlacementOption);
@@ -109,11 +110,12 @@
         return sample;
     }
 
+    /** Returns the option with the lowest cost, a random one among nearly equal costs; undefined when there are no options. */
     private selectBest(options: readonly PlacementOption[]): PlacementOption | undefined {
         let best: PlacementOption | undefined;
         let equalCount = 1;
         for (const option of options) {
-            const isEqual = best !== undefined && Math.abs(option.cost - best.cost) < equalCostMilliseconds;
+            const isEqual = best !== undefined && Math.abs(option.cost - best.cost) < equalCostToleranceMilliseconds;
             equalCount = isEqual ? equalCount + 1 : 1;
             const isPicked = best === undefined || (isEqual ? this.random.pickIndex(equalCount) === 0 : option.cost < best.cost);
             if (isPicked) {
@@ -123,13 +125,14 @@
         return best;
     }
 
+    /** Returns the usable endpoints of a group with capacity to which the request was not sent yet, preferably those not excluded. */
     private listCandidates(group: readonly FleetEndpoint[], query: PlacementQuery): FleetEndpoint[] {
         const now = this.clock.getMonotonicTime();
-        const limit = Math.max(1, this.getConnectionLimit(query.service) - spareConnections);
+        const limit = Math.max(1, this.getConnectionLimit(query.service) - reservedConnections);
         const usable = group.filter(endpoint => endpoint.isUsable());
         const untried = usable.filter(endpoint => !query.tried.has(endpoint) && !endpoint.isFull(now) && endpoint.running < limit);
-        const ready = untried.filter(endpoint => !endpoint.isExcluded(now));
-        // Any endpoint is better than none.
-        return ready.length > 0 ? ready : untried;
+        const notExcluded = untried.filter(endpoint => !endpoint.isExcluded(now));
+        // Endpoints excluded because they did not respond are used only when no other endpoint is left.
+        return notExcluded.length > 0 ? notExcluded : untried;
     }
 }
--- a/src/placement/enginePlacement.ts
+++ b/src/placement/enginePlacement.ts
@@ -3,50 +3,56 @@
 import { PromptPart, PromptShape } from "../fleet/types.js";
 import { PlacementCost, PlacementPolicy, PlacementQuery } from "./types.js";
 
-/** Speeds of the engines and what routing weighs, from the settings. Times are in milliseconds. */
-export interface EngineSpeeds {
-    /** Prompt tokens that an engine reads in a millisecond. */
+/** Settings of the cost estimate for generations on engines. Times are in milliseconds. */
+export interface EngineCostSettings {
+    /** Prompt tokens that an engine processes (prefills) in a millisecond. */
     readonly promptTokensPerMillisecond: number;
-    /** Time that one more running request adds to the first event of another. */
+    /** Time that each running request adds to the first event of another one. */
     readonly batchPenalty: number;
-    /** What sending to another failure domain is worth avoiding. */
+    /** Cost added to an endpoint in another failure domain than this node. */
     readonly domainPenalty: number;
-    /** What copying 1,000 cached tokens from another engine is worth avoiding. */
+    /** Cost of copying 1,000 cached tokens from another engine. */
     readonly copyPenalty: number;
-    /** What reading a shared part at an endpoint that is not its home is worth avoiding. */
+    /** Highest cost added to an endpoint that is not the home of the prompt's shared part. */
     readonly homePenalty: number;
 }
 
-/** Cost of an endpoint that fails often, in milliseconds: any healthy one is better. */
+/** Cost added to an unhealthy endpoint, in milliseconds; large enough that any healthy endpoint is preferred. */
 const unhealthyPenaltyMilliseconds = 5_000;
-/** Share of the objective up to which an expected time is as good as a shorter one: estimates are off by about half. */
-const safeShareOfObjective = 0.5;
-/** Backlog up to which a generation is accepted, as a share of its objective; the most urgent ones are read before the others. */
-const backlogShare = 0.8;
-const urgentBacklogShare = 1.5;
-/** Cost of a millisecond beyond it. */
-const lateWeight = 3;
+/** Share of the objective up to which the expected time adds no lateness cost; estimates are off by about half. */
+const unpenalizedShareOfObjective = 0.5;
+/** Longest expected time with which a generation is accepted, as a share of its objective. */
+const backlogShareOfObjective = 0.8;
+/** The same for generations of rank 0, whose prompts engines process before all others. */
+const urgentBacklogShareOfObjective = 1.5;
+/** Cost of each millisecond of expected time beyond the unpenalized share of the objective. */
+const latenessWeight = 3;
+/** Tokens to which the copy penalty applies. */
 const tokensPerCopyUnit = 1_000;
-/** Fewest tokens worth copying: fewer are read in the time that setting up a copy takes. */
-const leastCopiedTokens = 256;
+/** Fewest tokens worth copying from another engine: fewer are processed in the time that setting up a copy takes. */
+const minimumCopiedTokens = 256;
+/** Number of values of the hash, which scales it to 0 to 1. */
 const hashRange = 2 ** 32;
 
-/** Places generations where the prompt is cached and few tokens wait to be read; cold prompts go to the part's home by hashing. */
+/**
+ * Estimates costs for generations, so that they go to endpoints that have the prompt cached and few prompt tokens queued.
+ * A shared prompt part that no endpoint has cached goes to its home: the endpoint with the lowest rendezvous hash.
+ */
 export class EnginePlacement implements PlacementPolicy {
     private readonly homeScores = new Map<string, number>();
 
-    private constructor(private readonly speeds: EngineSpeeds, private readonly failureDomain: string) {}
+    private constructor(private readonly settings: EngineCostSettings, private readonly failureDomain: string) {}
 
-    static create(speeds: EngineSpeeds, failureDomain: string): EnginePlacement {
-        return new EnginePlacement(speeds, failureDomain);
+    static create(settings: EngineCostSettings, failureDomain: string): EnginePlacement {
+        return new EnginePlacement(settings, failureDomain);
     }
 
     /**
-     * While an engine has prompts to read it makes each token of its running requests wait for a part of them. A backlog beyond
-     * the objective so makes everything late, also what runs; the less urgent stop adding to it first.
+     * An engine interleaves prompt processing with the output tokens of running requests. A backlog beyond the objective
+     * therefore delays running requests as well, so less urgent requests are refused at a smaller backlog.
      */
     computeLongestWait(query: PlacementQuery): number {
-        return query.objective * (query.rank === 0 ? urgentBacklogShare : backlogShare);
+        return query.objective * (query.rank === 0 ? urgentBacklogShareOfObjective : backlogShareOfObjective);
     }
 
     computeCosts(candidates: readonly FleetEndpoint[], query: PlacementQuery, all: readonly FleetEndpoint[]): PlacementCost[] {
@@ -55,31 +61,32 @@
     }
 
     private computeCost(endpoint: FleetEndpoint, query: PlacementQuery, sources: readonly CacheSource[]): PlacementCost {
-        const { speeds } = this;
+        const { settings } = this;
         const { prompt } = query;
         const cached = prompt === undefined ? 0 : endpoint.cache.countCachedTokens(prompt.parts);
-        const source = sources.find(other => other.endpoint !== endpoint && other.cachedTokens - cached >= leastCopiedTokens);
+        const source = sources.find(other => other.endpoint !== endpoint && other.cachedTokens - cached >= minimumCopiedTokens);
         const copied = source === undefined ? 0 : source.cachedTokens - cached;
         const tokensToRead = Math.max(0, (prompt?.inputTokens ?? 0) - cached - copied);
-        const readTime = (endpoint.countPromptTokens() + tokensToRead) / speeds.promptTokensPerMillisecond;
-        const batchTime = endpoint.countRequests() * speeds.batchPenalty;
+        const readTime = (endpoint.countPromptTokens() + tokensToRead) / settings.promptTokensPerMillisecond;
+        const batchTime = endpoint.countRequests() * settings.batchPenalty;
         const expectedTime = (readTime + batchTime) * endpoint.getLatencyRatio();
-        const fixedCost = this.computeFixedCost(endpoint, prompt, copied) + tokensToRead / speeds.promptTokensPerMillisecond;
-        const waitCost = expectedTime - tokensToRead / speeds.promptTokensPerMillisecond;
-        // Close to the objective every further millisecond makes it likelier that the answer is late.
-        const lateCost = Math.max(0, expectedTime - query.objective * safeShareOfObjective) * lateWeight;
-        const cost = fixedCost + waitCost + lateCost;
+        const fixedCost = this.computeFixedCost(endpoint, prompt, copied) + tokensToRead / settings.promptTokensPerMillisecond;
+        const waitCost = expectedTime - tokensToRead / settings.promptTokensPerMillisecond;
+        // Close to the objective each further millisecond makes a late response more likely.
+        const latenessCost = Math.max(0, expectedTime - query.objective * unpenalizedShareOfObjective) * latenessWeight;
+        const cost = fixedCost + waitCost + latenessCost;
         return { cost, fixedCost, expectedTime, tokensToRead, cacheSource: source?.endpoint };
     }
 
+    /** Returns the cost that does not depend on the endpoint's load, without the time to process uncached tokens. */
     private computeFixedCost(endpoint: FleetEndpoint, prompt: PromptShape | undefined, copied: number): number {
-        const { speeds } = this;
-        let cost = speeds.copyPenalty * copied / tokensPerCopyUnit;
+        const { settings } = this;
+        let cost = settings.copyPenalty * copied / tokensPerCopyUnit;
         if (endpoint.entry.failureDomain !== this.failureDomain) {
-            cost += speeds.domainPenalty;
+            cost += settings.domainPenalty;
         }
         if (prompt !== undefined) {
-            cost += speeds.homePenalty * this.computeDistance(endpoint.entry.id, prompt);
+            cost += settings.homePenalty * this.computeHomeDistance(endpoint.entry.id, prompt);
         }
         if (endpoint.isUnhealthy()) {
             cost += unhealthyPenaltyMilliseconds;
@@ -87,18 +94,21 @@
         return cost;
     }
 
-    /** Returns 0 to 1: how far an endpoint is from being the home of a prompt's longest shared part, the same on every node. */
-    private computeDistance(endpointId: string, prompt: PromptShape): number {
+    /**
+     * Returns the hash of a prompt's longest shared part and an endpoint, from 0 to 1; the endpoint with the lowest one is the
+     * part's home. All nodes compute the same value.
+     */
+    private computeHomeDistance(endpointId: string, prompt: PromptShape): number {
         const part = findSharedPart(prompt.parts);
         if (part === undefined) {
             return 0;
         }
         const key = `${part.id}\n${endpointId}`;
-        const known = this.homeScores.get(key);
-        if (known !== undefined) {
-            return known;
+        const cachedScore = this.homeScores.get(key);
+        if (cachedScore !== undefined) {
+            return cachedScore;
         }
-        if (this.homeScores.size >= homeScoreLimit) {
+        if (this.homeScores.size >= maximumCachedHomeScores) {
             this.homeScores.clear();
         }
         const score = hashToNumber(key) / hashRange;
@@ -107,21 +117,24 @@
     }
 }
 
-/** Hashes that are remembered: several days' prompts at every endpoint of a large fleet. */
-const homeScoreLimit = 100_000;
+/** Cached home scores: enough for several days' prompts at every endpoint of a large fleet. */
+const maximumCachedHomeScores = 100_000;
 
-/** Returns the last part that other requests share: the very last belongs to the request itself. */
+/** Returns the last prompt part that other requests may share; the final part belongs to this request alone. */
 function findSharedPart(parts: readonly PromptPart[]): PromptPart | undefined {
     return parts.length >= 2 ? parts[parts.length - 2] : parts[0];
 }
 
-/** An endpoint that holds leading parts of a prompt. */
+/** An endpoint that has leading parts of a prompt cached. */
 interface CacheSource {
     readonly endpoint: FleetEndpoint;
     readonly cachedTokens: number;
 }
 
-/** Returns the two endpoints that hold most of a prompt, the better one first: whichever a request goes to, another one is among them. */
+/**
+ * Returns the two endpoints with the most tokens of a prompt cached, the larger count first. Two suffice: whichever endpoint
+ * gets the request, the best other one is among them.
+ */
 function listCacheSources(prompt: PromptShape, all: readonly FleetEndpoint[]): CacheSource[] {
     let best: CacheSource | undefined;
     let second: CacheSource | undefined;
--- a/src/placement/placement.test.ts
+++ b/src/placement/placement.test.ts
@@ -48,7 +48,7 @@
     assert.equal(Math.max(...chosen.values()) <= 14, true, JSON.stringify([...chosen]));
 });
 
-test("one hot prompt is read once: it goes where it is cached, and elsewhere it is copied", () => {
+test("a frequent prompt is processed once: requests go to an endpoint that has it cached or copy it from there", () => {
     const clock = VirtualClock.create();
     const { directory, endpoints } = createFleet(clock, 6);
     const chooser = createChooser(directory, clock, 1);
@@ -72,7 +72,7 @@
     assert.equal(endpoints.filter(endpoint => endpoint.running > 0).length >= 4, true);
 });
 
-test("a backlog refuses the less urgent first, and nobody is accepted to be late", () => {
+test("a growing backlog refuses less urgent requests first, and later urgent ones as well", () => {
     const clock = VirtualClock.create();
     const { directory, endpoints } = createFleet(clock, 3);
     const chooser = createChooser(directory, clock, 1);
@@ -86,19 +86,19 @@
     assert.equal(isAccepted(2_000, 0, 1_000), false);
 });
 
-test("an endpoint that leaves, is full or gave no answer gets nothing while another is there", () => {
+test("an endpoint that is draining, full or unresponsive gets no request while another one is available", () => {
     const clock = VirtualClock.create();
     const { directory, endpoints } = createFleet(clock, 4);
-    const [leaving, full, silent, well] = endpoints as [FleetEndpoint, FleetEndpoint, FleetEndpoint, FleetEndpoint];
-    directory.markDraining(leaving, "test");
+    const [draining, full, unresponsive, healthy] = endpoints as [FleetEndpoint, FleetEndpoint, FleetEndpoint, FleetEndpoint];
+    directory.markDraining(draining, "test");
     full.recordRefusal(0);
-    silent.recordLoss(0);
-    well.promptTokens = 20_000;
+    unresponsive.recordLoss(0);
+    healthy.promptTokens = 20_000;
     const chooser = createChooser(directory, clock, 1);
     for (let request = 0; request < 20; request += 1) {
         const placed = chooser.choosePlacement(createPlacementQuery({}));
-        assert.equal(placed.ok && placed.val.endpoint, well);
+        assert.equal(placed.ok && placed.val.endpoint, healthy);
     }
-    const without = chooser.choosePlacement(createPlacementQuery({ tried: new Set([well]) }));
-    assert.equal(without.ok && without.val.endpoint, silent);
+    const withoutHealthy = chooser.choosePlacement(createPlacementQuery({ tried: new Set([healthy]) }));
+    assert.equal(withoutHealthy.ok && withoutHealthy.val.endpoint, unresponsive);
 });
--- a/src/placement/placementNews.ts
+++ b/src/placement/placementNews.ts
@@ -1,34 +1,34 @@
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
 import { PromptPart } from "../fleet/types.js";
 
-/** Placements that are kept until they are told; more come only while no peer is reached. */
-const newsLimit = 2_000;
+/** Placements kept until they are sent to peers; more accumulate only while no peer is reachable. */
+const maximumBufferedUpdates = 2_000;
 
-/** Parts of prompts that one endpoint got. */
-export interface PlacedParts {
+/** Prompt parts sent to one endpoint, which therefore has them cached. */
+export interface PlacedPromptParts {
     readonly endpointId: string;
     readonly parts: readonly PromptPart[];
 }
 
-/** Who brought a placement. */
-export interface NewsSource {
-    /** Name of the peer; empty for this node's own. */
+/** Origin of a placement update, or the receiver of one. */
+export interface PlacementUpdateSource {
+    /** Name of the peer; empty for placements made by this node. */
     readonly peer: string;
-    /** Whether it came from a relay, which tells the other relays itself. */
+    /** Whether the peer is a relay; a relay sends its updates to the other relays itself. */
     readonly isRelay: boolean;
 }
 
-interface NewsEntry {
+interface PlacementUpdateEntry {
     readonly sequence: number;
-    readonly placed: PlacedParts;
-    readonly source: NewsSource;
+    readonly placed: PlacedPromptParts;
+    readonly source: PlacementUpdateSource;
 }
 
-const ownSource: NewsSource = { peer: "", isRelay: false };
+const localSource: PlacementUpdateSource = { peer: "", isRelay: false };
 
-/** What this node sent where since it last told its peers, so that they know what each endpoint has cached. */
+/** Buffers recent placements for the digests sent to peers, from which peers derive what each endpoint has cached. */
 export class PlacementNews {
-    private entries: NewsEntry[] = [];
+    private entries: PlacementUpdateEntry[] = [];
     private sequence = 0;
 
     private constructor() {}
@@ -37,30 +37,31 @@
         return new PlacementNews();
     }
 
-    /** Records the parts that other requests may share; the last one is the request's own. */
+    /** Records a placement made by this node, without the last prompt part, which no other request shares. */
     addPlacement(endpoint: FleetEndpoint, parts: readonly PromptPart[]): void {
         const shared = parts.slice(0, -1);
         if (shared.length === 0) {
             return;
         }
-        this.addNews({ endpointId: endpoint.entry.id, parts: shared }, ownSource);
+        this.addNews({ endpointId: endpoint.entry.id, parts: shared }, localSource);
     }
 
-    /** Adds a placement that is to be told on; a relay does so with what it hears. */
-    addNews(placed: PlacedParts, source: NewsSource): void {
+    /** Adds a placement to send to peers; a relay also adds the placements that it receives. */
+    addNews(placed: PlacedPromptParts, source: PlacementUpdateSource): void {
         this.sequence += 1;
         this.entries.push({ sequence: this.sequence, placed, source });
-        if (this.entries.length > newsLimit) {
-            this.entries = this.entries.slice(-newsLimit);
+        if (this.entries.length > maximumBufferedUpdates) {
+            this.entries = this.entries.slice(-maximumBufferedUpdates);
         }
     }
 
+    /** Returns the sequence number of the newest placement; 0 before the first. */
     getSequence(): number {
         return this.sequence;
     }
 
-    /** Returns the placements after a sequence number, without those that the receiver told itself or hears from their relay. */
-    listSince(sequence: number, receiver: NewsSource): PlacedParts[] {
+    /** Returns the placements after a sequence number, except those that the receiver sent itself or receives from another relay. */
+    listSince(sequence: number, receiver: PlacementUpdateSource): PlacedPromptParts[] {
         return this.entries
             .filter(entry =>
                 entry.sequence > sequence && entry.source.peer !== receiver.peer && !(receiver.isRelay && entry.source.isRelay)
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,47 +1,52 @@
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
 import { PromptShape } from "../fleet/types.js";
 
-/** A request that needs an endpoint. Times are in milliseconds. */
+/** Properties of a request by which its endpoint is chosen. Times are in milliseconds. */
 export interface PlacementQuery {
     readonly service: string;
+    /** Undefined when the request has no prompt. */
     readonly prompt: PromptShape | undefined;
-    /** How long the caller still waits. */
+    /** Time until the caller's deadline. */
     readonly timeLeft: number;
+    /** Target for the time to the first event of a stream or to the whole response. */
     readonly objective: number;
-    /** 0 is the most urgent. */
+    /** Urgency of the request; 0 is the most urgent. */
     readonly rank: number;
-    /** Endpoints that have had this request already. */
+    /** Endpoints to which earlier attempts of this request were sent. */
     readonly tried: ReadonlySet<FleetEndpoint>;
-    /** Whether it is a stream that cannot go on at another endpoint. */
+    /** Whether the request is a stream that cannot be resumed at another endpoint. */
     readonly isBoundStream: boolean;
 }
 
-/** Where a request goes. */
+/** The endpoint chosen for a request, with the estimates behind the choice. */
 export interface Placement {
     readonly endpoint: FleetEndpoint;
-    /** Expected time to the first event or the whole answer, in milliseconds. */
+    /** Expected time to the first event of a stream or to the whole response, in milliseconds. */
     readonly expectedTime: number;
-    /** Tokens that the endpoint is expected to read for it. */
+    /** Prompt tokens that the endpoint is expected to process because they are neither cached nor copied. */
     readonly tokensToRead: number;
-    /** An endpoint from which it can copy parts of the prompt that it does not hold. */
+    /** Endpoint from which cached prompt parts can be copied; undefined when copying is not worthwhile. */
     readonly cacheSource: FleetEndpoint | undefined;
 }
 
-/** Says how well an endpoint suits a request; the lowest cost wins. */
+/** Estimated cost of sending a request to an endpoint; the endpoint with the lowest cost is chosen. */
 export interface PlacementCost {
-    /** In milliseconds of the caller's time; other costs are given in the same unit. */
+    /** Total cost in milliseconds, the unit of all costs. */
     readonly cost: number;
-    /** The part of it that does not depend on what others have sent there: distance, what is cached, health. */
+    /** Part of the cost that does not depend on the endpoint's load: failure domain, cached prompt parts, health. */
     readonly fixedCost: number;
     readonly expectedTime: number;
     readonly tokensToRead: number;
     readonly cacheSource: FleetEndpoint | undefined;
 }
 
-/** A way to judge endpoints. */
+/** Estimates how well endpoints suit the requests of one kind of service. */
 export interface PlacementPolicy {
-    /** Returns the longest expected time, in milliseconds, with which a request is still accepted. */
+    /** Returns the longest expected time, in milliseconds, with which a request is accepted. */
     computeLongestWait(query: PlacementQuery): number;
-    /** Returns the cost of each candidate. All endpoints of the service, those that leave included, may have parts to copy. */
+    /**
+     * Returns the cost of each candidate, in the same order. Prompt parts may be copied from any of the service's endpoints in
+     * `all`, including draining ones.
+     */
     computeCosts(candidates: readonly FleetEndpoint[], query: PlacementQuery, all: readonly FleetEndpoint[]): PlacementCost[];
 }
--- a/src/placement/workMeter.ts
+++ b/src/placement/workMeter.ts
@@ -1,90 +1,93 @@
 import { Clock } from "../common/clock.js";
 import { millisecondsPerSecond } from "../common/units.js";
 
-/** Time constant of the measured work, in milliseconds: long against a burst of requests, short against a change of load. */
-const workWindowMilliseconds = 4_000;
-/** Time after which another node's work is no longer counted, in milliseconds. */
-const workAgeLimitMilliseconds = 10_000;
+/** Time constant of the moving average of work, in milliseconds: long compared with a burst, short compared with a change of load. */
+const workTimeConstantMilliseconds = 4_000;
+/** Age up to which a peer's reported work is counted, in milliseconds. */
+const peerWorkAgeLimitMilliseconds = 10_000;
 
-/** How long an engine works on tokens, in milliseconds. */
-export interface TokenTimes {
+/** Assumed speed of an engine. */
+export interface TokenProcessingTimes {
     readonly promptTokensPerMillisecond: number;
-    /** One output token in a usual batch. */
+    /** Engine time of one output token in a batch of usual size, in milliseconds. */
     readonly outputToken: number;
 }
 
-/** Work of one service, in milliseconds of one engine a second. */
+/** Engine time demand of one service, in milliseconds of engine time per second. */
 export interface ServiceWork {
     readonly service: string;
     readonly work: number;
 }
 
-interface WorkRate {
+/** Moving average of work and the monotonic time at which it was last updated. */
+interface DecayingWorkRate {
     work: number;
     at: number;
 }
 
-/** Measures how much work goes to each service's engines, by what this node sends and what others tell. */
+/** Tracks the engine time demand of each service, from the generations that this node sends and the demand that peers report. */
 export class WorkMeter {
-    private readonly own = new Map<string, WorkRate>();
-    private readonly others = new Map<string, Map<string, WorkRate>>();
+    private readonly localRates = new Map<string, DecayingWorkRate>();
+    private readonly peerRatesByService = new Map<string, Map<string, DecayingWorkRate>>();
 
-    private constructor(private readonly clock: Clock, private readonly times: TokenTimes) {}
+    private constructor(private readonly clock: Clock, private readonly times: TokenProcessingTimes) {}
 
-    static create(clock: Clock, times: TokenTimes): WorkMeter {
+    static create(clock: Clock, times: TokenProcessingTimes): WorkMeter {
         return new WorkMeter(clock, times);
     }
 
-    /** Records a generation that is sent to an engine. */
+    /** Adds the estimated engine time of a generation that this node sends to an engine. */
     recordWork(service: string, tokensToRead: number, outputTokens: number): void {
         const now = this.clock.getMonotonicTime();
-        const rate = this.own.get(service) ?? { work: 0, at: now };
+        const rate = this.localRates.get(service) ?? { work: 0, at: now };
         const milliseconds = tokensToRead / this.times.promptTokensPerMillisecond + outputTokens * this.times.outputToken;
-        rate.work = computeWork(rate, now) + milliseconds * millisecondsPerSecond / workWindowMilliseconds;
+        rate.work = computeDecayedWork(rate, now) + milliseconds * millisecondsPerSecond / workTimeConstantMilliseconds;
         rate.at = now;
-        this.own.set(service, rate);
+        this.localRates.set(service, rate);
     }
 
+    /** Replaces the work that a peer, or a group of nodes, reports for a service. */
     recordOther(service: string, node: string, work: number): void {
-        const nodes = this.others.get(service) ?? new Map<string, WorkRate>();
-        nodes.set(node, { work, at: this.clock.getMonotonicTime() });
-        this.others.set(service, nodes);
+        const ratesByPeer = this.peerRatesByService.get(service) ?? new Map<string, DecayingWorkRate>();
+        ratesByPeer.set(node, { work, at: this.clock.getMonotonicTime() });
+        this.peerRatesByService.set(service, ratesByPeer);
     }
 
-    /** Forgets the sources that a check does not name: their nodes are counted elsewhere. */
+    /** Removes the sources that the predicate rejects, because another source's sum includes their nodes. */
     removeOthers(isKept: (source: string) => boolean): void {
-        for (const nodes of this.others.values()) {
-            [...nodes.keys()].filter(node => !isKept(node)).forEach(node => nodes.delete(node));
+        for (const ratesByPeer of this.peerRatesByService.values()) {
+            [...ratesByPeer.keys()].filter(node => !isKept(node)).forEach(node => ratesByPeer.delete(node));
         }
     }
 
-    /** Returns the sum of this node's and the chosen sources' work. */
+    /** Returns, for each service, the work of this node plus that of the sources that the predicate accepts. */
     listSums(isCounted: (source: string) => boolean): ServiceWork[] {
-        const services = [...new Set([...this.own.keys(), ...this.others.keys()])];
+        const services = [...new Set([...this.localRates.keys(), ...this.peerRatesByService.keys()])];
         return services.map(service => ({ service, work: this.computeSum(service, isCounted) }));
     }
 
+    /** Returns the work that this node sends to each service. */
     listOwn(): ServiceWork[] {
         const now = this.clock.getMonotonicTime();
-        return [...this.own].map(([service, rate]) => ({ service, work: computeWork(rate, now) }));
+        return [...this.localRates].map(([service, rate]) => ({ service, work: computeDecayedWork(rate, now) }));
     }
 
-    /** Returns the work of all nodes. */
+    /** Returns the work of all nodes for a service, in milliseconds of engine time per second. */
     computeTotal(service: string): number {
         return this.computeSum(service, () => true);
     }
 
     private computeSum(service: string, isCounted: (source: string) => boolean): number {
         const now = this.clock.getMonotonicTime();
-        const own = this.own.get(service);
-        let work = own === undefined ? 0 : computeWork(own, now);
-        for (const [node, rate] of this.others.get(service) ?? []) {
-            work += isCounted(node) && now - rate.at <= workAgeLimitMilliseconds ? rate.work : 0;
+        const localRate = this.localRates.get(service);
+        let work = localRate === undefined ? 0 : computeDecayedWork(localRate, now);
+        for (const [node, rate] of this.peerRatesByService.get(service) ?? []) {
+            work += isCounted(node) && now - rate.at <= peerWorkAgeLimitMilliseconds ? rate.work : 0;
         }
         return work;
     }
 }
 
-function computeWork(rate: WorkRate, now: number): number {
-    return rate.work * Math.exp(-(now - rate.at) / workWindowMilliseconds);
+function computeDecayedWork(rate: DecayingWorkRate, now: number): number {
+    return rate.work * Math.exp(-(now - rate.at) / workTimeConstantMilliseconds);
 }
