--- a/src/quotas/retryAllowance.ts
+++ b/src/quotas/retryAllowance.ts
@@ -1,34 +1,35 @@
 import { Clock } from "../common/clock.js";
 
-/** What all nodes together may send again to one service. */
-export interface RetryAllowanceSettings {
-    /** Repeats for each request of the window. */
+/** Limit on the retries that all nodes together may send to one service. */
+export interface FleetRetryBudgetSettings {
+    /** Retries allowed for each request in the window. */
     readonly ratio: number;
     /** Length of the window in milliseconds. */
     readonly window: number;
-    /** Repeats that need no requests, shared by all nodes. */
+    /** Retries allowed in the window in addition, divided evenly among all nodes. */
     readonly slack: number;
 }
 
-/** Share of the allowance that is used: what nodes count and what endpoints see differ at the edges of windows. */
-const usedShare = 0.8;
+/** Share of the budget that nodes use, because their counts and those seen at endpoints differ at the edges of windows. */
+const usedBudgetShare = 0.8;
 
-interface ServiceCounts {
+/** Monotonic times of the recent requests and retries to one service, oldest first. */
+interface ServiceTimes {
     readonly requests: number[];
-    readonly repeats: number[];
+    readonly retries: number[];
 }
 
 /**
- * Bounds how often requests are sent again, for each service. A node earns repeats by its own requests and holds an equal
- * part of the slack, so the sum over all nodes stays within the bound although they do not count together.
+ * Limits the retries to each service over all nodes without a shared counter. A node may retry in proportion to its own
+ * requests plus an equal part of the slack, so the sum over all nodes stays within the limit.
  */
 export class RetryAllowance {
-    private readonly services = new Map<string, ServiceCounts>();
+    private readonly services = new Map<string, ServiceTimes>();
     private nodeCount = 1;
 
-    private constructor(private readonly clock: Clock, private readonly settings: RetryAllowanceSettings) {}
+    private constructor(private readonly clock: Clock, private readonly settings: FleetRetryBudgetSettings) {}
 
-    static create(clock: Clock, settings: RetryAllowanceSettings): RetryAllowance {
+    static create(clock: Clock, settings: FleetRetryBudgetSettings): RetryAllowance {
         return new RetryAllowance(clock, settings);
     }
 
@@ -37,33 +38,34 @@
         this.nodeCount = Math.max(1, count);
     }
 
-    /** Records a request of a caller for a service. */
+    /** Records a caller's request for a service, which adds to the service's budget. */
     recordRequest(service: string): void {
-        this.getCounts(service).requests.push(this.clock.getMonotonicTime());
+        this.getRecentTimes(service).requests.push(this.clock.getMonotonicTime());
     }
 
-    /** Takes the right to send one request again; false when there is none left. */
+    /** Takes one retry from the service's budget; returns false, taking nothing, when the budget is exhausted. */
     takeRepeat(service: string): boolean {
-        const counts = this.getCounts(service);
+        const counts = this.getRecentTimes(service);
         const allowed = counts.requests.length * this.settings.ratio + this.settings.slack / this.nodeCount;
-        if (counts.repeats.length + 1 > allowed * usedShare) {
+        if (counts.retries.length + 1 > allowed * usedBudgetShare) {
             return false;
         }
-        counts.repeats.push(this.clock.getMonotonicTime());
+        counts.retries.push(this.clock.getMonotonicTime());
         return true;
     }
 
-    private getCounts(service: string): ServiceCounts {
-        const counts = this.services.get(service) ?? { requests: [], repeats: [] };
+    /** Returns the times of a service after removing those before the window. */
+    private getRecentTimes(service: string): ServiceTimes {
+        const counts = this.services.get(service) ?? { requests: [], retries: [] };
         this.services.set(service, counts);
         const oldest = this.clock.getMonotonicTime() - this.settings.window;
-        removeBefore(counts.requests, oldest);
-        removeBefore(counts.repeats, oldest);
+        removeTimesBefore(counts.requests, oldest);
+        removeTimesBefore(counts.retries, oldest);
         return counts;
     }
 }
 
-function removeBefore(times: number[], oldest: number): void {
-    const kept = times.findIndex(time => time >= oldest);
-    times.splice(0, kept < 0 ? times.length : kept);
+function removeTimesBefore(times: number[], oldest: number): void {
+    const firstKept = times.findIndex(time => time >= oldest);
+    times.splice(0, firstKept < 0 ? times.length : firstKept);
 }
--- a/src/quotas/sharedLimits.test.ts
+++ b/src/quotas/sharedLimits.test.ts
@@ -7,7 +7,7 @@
 
 const nodeCount = 7;
 
-test("one team floods seven nodes unevenly: all together stay within rate, burst and slack in every window", async () => {
+test("seven nodes flooded unevenly by one team together admit at most rate, burst and slack in every window", async () => {
     for (let seed = 1; seed <= 20; seed += 1) {
         const clock = VirtualClock.create();
         const random = SeededRandom.create(seed);
@@ -18,9 +18,9 @@
         const passed: { at: number; units: number; }[] = [];
         for (let step = 0; step < 3_000; step += 1) {
             await clock.runUntil(step * 10);
-            // Most of the flood meets two nodes, which change over time.
-            const favourite = Math.floor(step / 700) % nodeCount;
-            const index = random.pickFraction() < 0.7 ? (favourite + random.pickIndex(2)) % nodeCount : random.pickIndex(nodeCount);
+            // Most requests of the flood go to two nodes, which change over time.
+            const floodedNode = Math.floor(step / 700) % nodeCount;
+            const index = random.pickFraction() < 0.7 ? (floodedNode + random.pickIndex(2)) % nodeCount : random.pickIndex(nodeCount);
             const units = 10 + random.pickIndex(100);
             if (limiters[index]?.takeUnits(limit, units, units) === undefined) {
                 passed.push({ at: step * 10, units });
@@ -38,6 +38,7 @@
     }
 });
 
+/** Sends the demand of each limiter to all others, as gossip does. */
 function exchangeDemands(limiters: readonly SharedRateLimiter[]): void {
     limiters.forEach((limiter, from) => {
         for (const demand of limiter.listDemands()) {
@@ -46,10 +47,10 @@
     });
 }
 
-/** Share of the requests of a team at half of its limit that may be refused: what chance puts near the limit for a moment. */
+/** Share of requests that may be refused to a team at half of its limit: random bursts reach the limit for short times. */
 const refusedShareBound = 0.001;
 
-test("all nodes are killed in the middle of a flood: what their earlier lives passed still counts", async () => {
+test("units admitted before all nodes are killed and restarted in a flood still count against the limit", async () => {
     const limit = { name: "flood", rate: 1_000, burst: 1_000 };
     const options = { slack: 1_400, window: 8_000 };
     const clock = VirtualClock.create();
@@ -75,7 +76,7 @@
     }
 });
 
-test("a team at half of its limit is all but never refused, however unevenly its large requests meet the nodes", async () => {
+test("a team at half of its limit is almost never refused, however unevenly its large requests are spread over the nodes", async () => {
     let refused = 0;
     let sent = 0;
     for (let seed = 1; seed <= 20; seed += 1) {
@@ -101,27 +102,27 @@
     assert.equal(refused <= sent * refusedShareBound, true, `${refused} of ${sent} refused`);
 });
 
-test("repeats of all nodes together stay within ratio and slack in every window", async () => {
+test("retries of all nodes together stay within ratio and slack in every window", async () => {
     const clock = VirtualClock.create();
     const random = SeededRandom.create(3);
     const settings = { ratio: 0.2, window: 10_000, slack: 54 };
-    const allowances = Array.from({ length: nodeCount }, () => RetryAllowance.create(clock, settings));
-    allowances.forEach(allowance => allowance.setNodeCount(nodeCount));
+    const budgets = Array.from({ length: nodeCount }, () => RetryAllowance.create(clock, settings));
+    budgets.forEach(budget => budget.setNodeCount(nodeCount));
     const requests: number[] = [];
-    const repeats: number[] = [];
+    const retries: number[] = [];
     for (let step = 0; step < 4_000; step += 1) {
         await clock.runUntil(step * 10);
-        const allowance = allowances[random.pickIndex(nodeCount)] as RetryAllowance;
-        allowance.recordRequest("desk");
+        const budget = budgets[random.pickIndex(nodeCount)] as RetryAllowance;
+        budget.recordRequest("desk");
         requests.push(step * 10);
-        if (allowance.takeRepeat("desk")) {
-            repeats.push(step * 10);
+        if (budget.takeRepeat("desk")) {
+            retries.push(step * 10);
         }
     }
-    assert.equal(repeats.length > 0, true);
-    for (const at of repeats) {
+    assert.equal(retries.length > 0, true);
+    for (const at of retries) {
         const isInside = (time: number) => time >= at && time < at + settings.window;
         const allowed = requests.filter(isInside).length * settings.ratio + settings.slack;
-        assert.equal(repeats.filter(isInside).length <= allowed, true);
+        assert.equal(retries.filter(isInside).length <= allowed, true);
     }
 });
--- a/src/quotas/sharedRateLimiter.ts
+++ b/src/quotas/sharedRateLimiter.ts
@@ -1,87 +1,89 @@
 import { Clock } from "../common/clock.js";
 import { millisecondsPerSecond } from "../common/units.js";
 
-/** Time constant of the measured demand, in milliseconds. */
-const demandWindowMilliseconds = 5_000;
-/** Time after which another node's demand is no longer counted, in milliseconds. */
-const demandAgeLimitMilliseconds = 15_000;
+/** Time constant of the moving average of demand, in milliseconds. */
+const demandTimeConstantMilliseconds = 5_000;
+/** Age up to which a peer's reported demand is counted, in milliseconds. */
+const peerDemandAgeLimitMilliseconds = 15_000;
 
-/** Share of the slack that is used; the rest is for what is sent before a limit is lowered and arrives after. */
-const usedSlackShare = 0.8;
+/** Share of the slack that nodes add to their bursts; the rest covers requests sent before a limit is lowered that arrive after it. */
+const burstSlackShare = 0.8;
 
-/** A limit on all nodes together, in units a second and units at once. */
-export interface SharedRate {
+/** A token bucket limit on all nodes together: units per second and units at once. */
+export interface SharedRateLimit {
     readonly name: string;
     readonly rate: number;
     readonly burst: number;
 }
 
-/** What a node sees of one limit. */
+/** Demand for one limit at a node or at a group of nodes. */
 export interface RateDemand {
     readonly name: string;
-    /** Demand in units a second. */
+    /** Requested units per second, as a moving average. */
     readonly demand: number;
-    /** Units that it let pass in the last window. */
+    /** Units admitted in the last window. */
     readonly passed: number;
-    /** Nodes whose sum it is. */
+    /** Number of nodes whose demand and admitted units are added up here. */
     readonly nodes: number;
 }
 
-interface OtherDemand extends RateDemand {
+/** Demand reported by a peer or a group of nodes, and the monotonic time at which the report arrived. */
+interface PeerDemand extends RateDemand {
     readonly at: number;
 }
 
-/** Share of a limit below which a window's sum over all nodes is taken to be clear of it, though the others' part is a little old. */
-const clearShare = 0.85;
-/** Share of the slack that callers may use; the rest is for what nodes let pass before they hear of one another. */
-const grantedSlackShare = 0.35;
-/** Shortest time after which a refused request may come back, in seconds: by then other nodes' counts are newer. */
-const leastWaitSeconds = 0.5;
-/** Age up to which what another node let pass is known well enough, in milliseconds: two exchanges. */
-const passedAgeLimitMilliseconds = 1_500;
+/** Share of a limit up to which units are admitted whatever this node's part is; the rest allows for slightly outdated peer counts. */
+const unconditionalShareOfLimit = 0.85;
+/** Share of the slack added to the units allowed in a window; the rest covers units that nodes admit before they receive peer counts. */
+const admittedSlackShare = 0.35;
+/** Shortest wait suggested to a refused caller, in seconds: by then newer peer counts have arrived. */
+const minimumRetryAfterSeconds = 0.5;
+/** Age up to which a peer's count of admitted units is used as it is, in milliseconds: two gossip exchanges. */
+const freshCountAgeLimitMilliseconds = 1_500;
 
-/** Why units were refused. */
+/** Reason and figures of a refusal. */
 export interface RateRefusal {
-    /** Seconds after which they are likely to be there. */
+    /** Seconds after which the units are likely to be available. */
     readonly wait: number;
-    /** Units that all nodes are taken to have let pass in the window. */
+    /** Estimate of the units that all nodes admitted in the window. */
     readonly passed: number;
-    /** Units that the limit allows in the window. */
+    /** Units that the limit allows all nodes together in the window. */
     readonly allowed: number;
 }
 
+/** State of one limit at this node: its token bucket, its demand and the demand that peers report. */
 interface RateBucket {
-    /** Units that the limit allows in a window, when it was last asked. */
+    /** Units allowed in a window, as computed when units were last taken. */
     allowed: number;
     available: number;
     refilledAt: number;
-    /** Units a second, smoothed. */
+    /** Moving average of the requested units per second, valid at `demandAt`. */
     demand: number;
     demandAt: number;
-    readonly passes: { readonly units: number; readonly at: number; }[];
-    readonly others: Map<string, OtherDemand>;
+    readonly admissions: { readonly units: number; readonly at: number; }[];
+    readonly peerDemands: Map<string, PeerDemand>;
 }
 
-/** How limits are held. */
-export interface SharedRateOptions {
-    /** Units that all nodes together may pass beyond each limit; it covers what shares of the demand get wrong. */
+/** Settings that apply to all limits. */
+export interface SharedRateLimiterOptions {
+    /** Units that all nodes together may admit beyond each limit, to cover errors of the nodes' estimated shares. */
     readonly slack: number;
-    /** Length, in milliseconds, of the window in which a limit is judged. */
+    /** Length of the sliding window in which a limit is enforced, in milliseconds. */
     readonly window: number;
 }
 
-const defaultOptions: SharedRateOptions = { slack: 0, window: 8_000 };
+const defaultOptions: SharedRateLimiterOptions = { slack: 0, window: 8_000 };
 
 /**
- * Holds limits over all nodes without a central counter: a node allows the part of a limit that its own share of
- * the demand comes to, by what the nodes tell one another.
+ * Enforces rate limits over all nodes without a central counter: each node admits the part of a limit that corresponds to
+ * its share of the total demand, which the nodes exchange by gossip.
  */
 export class SharedRateLimiter {
     private readonly buckets = new Map<string, RateBucket>();
     private nodeCount = 1;
     private readonly createdAt: number;
 
-    private constructor(private readonly clock: Clock, private readonly options: SharedRateOptions) {
+    private constructor(private readonly clock: Clock, private readonly options: SharedRateLimiterOptions) {
         this.createdAt = clock.getMonotonicTime();
     }
 
@@ -89,86 +91,87 @@
         return new SharedRateLimiter(clock, options);
     }
 
-    /** Sets how many nodes serve callers. */
+    /** Sets the number of nodes that serve callers, this one included. */
     setNodeCount(count: number): void {
         this.nodeCount = Math.max(1, count);
     }
 
     /**
-     * Takes units of a limit, or returns why there are too few now, and then takes nothing. The least burst lets limits that
-     * are small against one request work at all.
+     * Takes units of a limit; returns the refusal, taking nothing, when too few are available. The minimum burst lets this node
+     * admit single requests that are larger than its part of the limit's burst.
      */
-    takeUnits(limit: SharedRate, units: number, leastBurst: number): RateRefusal | undefined {
+    takeUnits(limit: SharedRateLimit, units: number, minimumBurst: number): RateRefusal | undefined {
         const now = this.clock.getMonotonicTime();
         const bucket = this.getBucket(limit.name, now);
         this.recordDemand(bucket, units, now);
-        const share = this.computeOwnShare(bucket, now);
+        const share = this.computeLocalShare(bucket, now);
         const rate = limit.rate * share;
-        const burst = Math.max(leastBurst, limit.burst * share + this.getOwnSlack());
+        const burst = Math.max(minimumBurst, limit.burst * share + this.getLocalSlack());
         bucket.available = Math.min(burst, bucket.available + (now - bucket.refilledAt) / millisecondsPerSecond * rate);
         bucket.refilledAt = now;
-        const strictlyAllowed = limit.rate * this.options.window / millisecondsPerSecond + limit.burst;
-        bucket.allowed = strictlyAllowed + this.options.slack * grantedSlackShare;
+        const allowedWithoutSlack = limit.rate * this.options.window / millisecondsPerSecond + limit.burst;
+        bucket.allowed = allowedWithoutSlack + this.options.slack * admittedSlackShare;
         const passed = this.estimatePassed(bucket, now);
-        const isClear = passed + units <= bucket.allowed * clearShare;
+        const isFarBelowLimit = passed + units <= bucket.allowed * unconditionalShareOfLimit;
         const isWithinShare = bucket.available >= units && passed + units <= Math.max(units, bucket.allowed);
-        if (!isClear && !isWithinShare) {
-            return { wait: Math.max(leastWaitSeconds, (units - bucket.available) / rate), passed, allowed: bucket.allowed };
+        if (!isFarBelowLimit && !isWithinShare) {
+            return { wait: Math.max(minimumRetryAfterSeconds, (units - bucket.available) / rate), passed, allowed: bucket.allowed };
         }
         bucket.available = Math.max(0, bucket.available - units);
-        bucket.passes.push({ units, at: now });
+        bucket.admissions.push({ units, at: now });
         return undefined;
     }
 
-    /** Returns what all nodes are taken to have let pass in the window; what is not known of a node counts as its part of the limit. */
+    /** Estimates the units that all nodes admitted in the window; a node without a recent count is assumed to have used its whole part. */
     private estimatePassed(bucket: RateBucket, now: number): number {
-        const part = bucket.allowed / this.nodeCount;
-        let passed = this.countOwnPassed(bucket, now);
-        let known = 0;
-        for (const other of bucket.others.values()) {
+        const nodePart = bucket.allowed / this.nodeCount;
+        let passed = this.countLocalPassed(bucket, now);
+        let reportedNodes = 0;
+        for (const other of bucket.peerDemands.values()) {
             const age = now - other.at;
             if (age > this.options.window) {
                 continue;
             }
-            known += other.nodes;
-            passed += age <= passedAgeLimitMilliseconds ? other.passed : Math.max(other.passed, part * other.nodes);
+            reportedNodes += other.nodes;
+            passed += age <= freshCountAgeLimitMilliseconds ? other.passed : Math.max(other.passed, nodePart * other.nodes);
         }
-        return passed + Math.max(0, this.nodeCount - 1 - known) * part;
+        return passed + Math.max(0, this.nodeCount - 1 - reportedNodes) * nodePart;
     }
 
-    /** Returns what this node let pass; what an earlier life passed in the window is not known and counts as its part of the limit. */
-    private countOwnPassed(bucket: RateBucket, now: number): number {
+    /** Counts the units that this node admitted; for the time before its start its whole part of the limit is assumed used. */
+    private countLocalPassed(bucket: RateBucket, now: number): number {
         const unknownShare = Math.max(0, 1 - (now - this.createdAt) / this.options.window);
-        return this.countPassed(bucket, now) + unknownShare * bucket.allowed / this.nodeCount;
+        return this.countRecordedAdmissions(bucket, now) + unknownShare * bucket.allowed / this.nodeCount;
     }
 
-    private countPassed(bucket: RateBucket, now: number): number {
+    /** Counts the units admitted since this node started, after removing admissions older than the window. */
+    private countRecordedAdmissions(bucket: RateBucket, now: number): number {
         const oldest = now - this.options.window;
-        while (bucket.passes[0] !== undefined && bucket.passes[0].at < oldest) {
-            bucket.passes.shift();
+        while (bucket.admissions[0] !== undefined && bucket.admissions[0].at < oldest) {
+            bucket.admissions.shift();
         }
-        return bucket.passes.reduce((sum, pass) => sum + pass.units, 0);
+        return bucket.admissions.reduce((sum, pass) => sum + pass.units, 0);
     }
 
-    /** Records what another node, or a group of nodes, sees of a limit. */
+    /** Replaces the demand for a limit that a peer, or a group of nodes, reports. */
     recordOtherDemand(demand: RateDemand, source: string): void {
         const now = this.clock.getMonotonicTime();
-        this.getBucket(demand.name, now).others.set(source, { ...demand, at: now });
+        this.getBucket(demand.name, now).peerDemands.set(source, { ...demand, at: now });
     }
 
-    /** Forgets the sources that a check does not name: their nodes are counted elsewhere. */
+    /** Removes the sources that the predicate rejects, because another source's sum includes their nodes. */
     removeOthers(isKept: (source: string) => boolean): void {
-        for (const { others } of this.buckets.values()) {
+        for (const { peerDemands: others } of this.buckets.values()) {
             [...others.keys()].filter(source => !isKept(source)).forEach(source => others.delete(source));
         }
     }
 
-    /** Returns the sum of this node's and the chosen sources' demand for each limit. */
+    /** Returns, for each limit, the demand at this node plus that of the sources that the predicate accepts. */
     listSums(isCounted: (source: string) => boolean): RateDemand[] {
         const now = this.clock.getMonotonicTime();
-        return this.listDemands().map(own => {
-            const sum = { ...own };
-            for (const [source, other] of this.getBucket(own.name, now).others) {
+        return this.listDemands().map(local => {
+            const sum = { ...local };
+            for (const [source, other] of this.getBucket(local.name, now).peerDemands) {
                 if (isCounted(source) && now - other.at <= this.options.window) {
                     sum.demand += other.demand;
                     sum.passed += other.passed;
@@ -179,13 +182,13 @@
         });
     }
 
-    /** Returns this node's demand for each limit. */
+    /** Returns the demand at this node for each limit. */
     listDemands(): RateDemand[] {
         const now = this.clock.getMonotonicTime();
         return [...this.buckets].map(([name, bucket]) => ({
             name,
             demand: computeDemand(bucket, now),
-            passed: this.countOwnPassed(bucket, now),
+            passed: this.countLocalPassed(bucket, now),
             nodes: 1,
         }));
     }
@@ -195,48 +198,50 @@
         if (existing !== undefined) {
             return existing;
         }
-        // What an earlier life of this node passed is not known, so a bucket fills from the start of the process on.
+        // The admissions of this node's previous incarnation are not known, so a bucket starts empty when the process starts.
         const bucket: RateBucket = {
             allowed: 0,
             available: 0,
             refilledAt: this.createdAt,
             demand: 0,
             demandAt: now,
-            passes: [],
-            others: new Map(),
+            admissions: [],
+            peerDemands: new Map(),
         };
         this.buckets.set(name, bucket);
         return bucket;
     }
 
-    private getOwnSlack(): number {
-        return this.options.slack * usedSlackShare / this.nodeCount;
+    /** Returns the units of slack that this node adds to its part of a limit's burst. */
+    private getLocalSlack(): number {
+        return this.options.slack * burstSlackShare / this.nodeCount;
     }
 
     private recordDemand(bucket: RateBucket, units: number, now: number): void {
-        bucket.demand = computeDemand(bucket, now) + units * millisecondsPerSecond / demandWindowMilliseconds;
+        bucket.demand = computeDemand(bucket, now) + units * millisecondsPerSecond / demandTimeConstantMilliseconds;
         bucket.demandAt = now;
     }
 
-    /** Returns this node's share of the demand; nodes that nothing is known of count as the mean of the known ones. */
-    private computeOwnShare(bucket: RateBucket, now: number): number {
-        let known = 0;
-        let sum = 0;
-        for (const [node, other] of bucket.others) {
-            if (now - other.at > demandAgeLimitMilliseconds) {
-                bucket.others.delete(node);
+    /** Returns this node's share of the total demand, from 0 to 1; nodes without a report count with the mean of the reported nodes. */
+    private computeLocalShare(bucket: RateBucket, now: number): number {
+        let reportedNodes = 0;
+        let peerDemand = 0;
+        for (const [node, other] of bucket.peerDemands) {
+            if (now - other.at > peerDemandAgeLimitMilliseconds) {
+                bucket.peerDemands.delete(node);
                 continue;
             }
-            known += other.nodes;
-            sum += other.demand;
+            reportedNodes += other.nodes;
+            peerDemand += other.demand;
         }
-        const own = Math.max(bucket.demand, Number.EPSILON);
-        const unknown = Math.max(0, this.nodeCount - 1 - known);
-        const mean = known > 0 ? sum / known : own;
-        return own / (own + sum + unknown * mean);
+        const localDemand = Math.max(bucket.demand, Number.EPSILON);
+        const unreportedNodes = Math.max(0, this.nodeCount - 1 - reportedNodes);
+        const mean = reportedNodes > 0 ? peerDemand / reportedNodes : localDemand;
+        return localDemand / (localDemand + peerDemand + unreportedNodes * mean);
     }
 }
 
+/** Returns a bucket's demand, decayed to the given monotonic time. */
 function computeDemand(bucket: RateBucket, now: number): number {
-    return bucket.demand * Math.exp(-(now - bucket.demandAt) / demandWindowMilliseconds);
+    return bucket.demand * Math.exp(-(now - bucket.demandAt) / demandTimeConstantMilliseconds);
 }
