--- a/src/usage/usageCounter.ts
+++ b/src/usage/usageCounter.ts
@@ -1,26 +1,26 @@
 import { Clock } from "../common/clock.js";
 
-/** Windows that are kept: reports are due well before they are dropped. */
-const keptWindows = 8;
+/** Number of windows whose counts are retained; reports are due well before a window is removed. */
+const retainedWindows = 8;
 
-/** Requests that began to run in one window, for one team. */
+/** Number of requests of one team that started to run in one window. */
 export interface TeamUsage {
     readonly team: string;
     readonly requests: number;
 }
 
-/** Counts, by window of the wall clock, the requests of each team that began to run. */
+/** Counts the requests of each team that this node started to run, by wall-clock window, for the usage reports. */
 export class UsageCounter {
     private readonly windows = new Map<number, Map<string, number>>();
 
     private constructor(private readonly clock: Clock, readonly windowLength: number) {}
 
-    /** The length of a window is in milliseconds; windows begin at its multiples since 1970. */
+    /** The window length is in milliseconds; windows start at its multiples since the Unix epoch. */
     static create(clock: Clock, windowLength: number): UsageCounter {
         return new UsageCounter(clock, windowLength);
     }
 
-    /** Returns the number of the window that a wall-clock time lies in. */
+    /** Returns the number of the window that contains a wall-clock time in Unix milliseconds. */
     getWindow(wallTime: number): number {
         return Math.floor(wallTime / this.windowLength);
     }
@@ -30,7 +30,7 @@
         return (window + 1) * this.windowLength;
     }
 
-    /** Records a request that began to run at a monotonic time. */
+    /** Counts a request that started to run at the given monotonic time. */
     recordRun(team: string, startedAt: number): void {
         const age = this.clock.getMonotonicTime() - startedAt;
         const window = this.getWindow(this.clock.getWallTime() - age);
@@ -40,14 +40,14 @@
         this.removeOldWindows(window);
     }
 
-    /** Returns the counts of a window. */
+    /** Returns the counts of this node for a window; empty when it counted nothing or the window was removed. */
     listUsage(window: number): TeamUsage[] {
         return [...this.windows.get(window) ?? []].map(([team, requests]) => ({ team, requests }));
     }
 
     private removeOldWindows(newest: number): void {
         for (const window of this.windows.keys()) {
-            if (window <= newest - keptWindows) {
+            if (window <= newest - retainedWindows) {
                 this.windows.delete(window);
             }
         }
--- a/src/usage/usageLedger.ts
+++ b/src/usage/usageLedger.ts
@@ -1,15 +1,15 @@
 import { TeamUsage } from "./usageCounter.js";
 
-/** Windows that are kept: a report is due two windows after its end. */
-const keptWindows = 12;
+/** Number of windows whose counts are retained; a report is due two windows after its window ends. */
+const retainedWindows = 12;
 
-/** What one life of a node counted. */
+/** Counts of one incarnation of a node in one window. */
 export interface SourceUsage {
     readonly source: string;
     readonly usage: readonly TeamUsage[];
 }
 
-/** What every node, in each of its lives, has counted by window; it adds up what the duty reports. */
+/** Collects the usage counts of all node incarnations by window and adds them up for the usage reports. */
 export class UsageLedger {
     private readonly windows = new Map<number, Map<string, readonly TeamUsage[]>>();
 
@@ -19,7 +19,7 @@
         return new UsageLedger();
     }
 
-    /** Records what one life of a node has counted in a window so far; counts only grow, so older news changes nothing. */
+    /** Records the counts of one node incarnation in a window so far. Counts only grow, so a smaller sum is outdated and ignored. */
     recordUsage(source: string, window: number, usage: readonly TeamUsage[]): void {
         const sources = this.windows.get(window) ?? new Map<string, readonly TeamUsage[]>();
         if (countRequests(usage) < countRequests(sources.get(source) ?? [])) {
@@ -27,25 +27,25 @@
         }
         sources.set(source, usage);
         this.windows.set(window, sources);
-        for (const known of this.windows.keys()) {
-            if (known <= window - keptWindows) {
-                this.windows.delete(known);
+        for (const recordedWindow of this.windows.keys()) {
+            if (recordedWindow <= window - retainedWindows) {
+                this.windows.delete(recordedWindow);
             }
         }
     }
 
-    /** Returns what the chosen lives counted in a window. */
-    listSources(window: number, isChosen: (source: string) => boolean): SourceUsage[] {
+    /** Returns the non-empty counts of a window from the node incarnations that the predicate accepts. */
+    listSources(window: number, isIncluded: (source: string) => boolean): SourceUsage[] {
         const sources: SourceUsage[] = [];
         for (const [source, usage] of this.windows.get(window) ?? []) {
-            if (isChosen(source) && usage.length > 0) {
+            if (isIncluded(source) && usage.length > 0) {
                 sources.push({ source, usage });
             }
         }
         return sources;
     }
 
-    /** Returns the sum over all nodes, by team in the order of their names. */
+    /** Returns the counts of a window added up over all node incarnations, sorted by team name. */
     computeCounts(window: number): TeamUsage[] {
         const sums = new Map<string, number>();
         for (const usage of this.windows.get(window)?.values() ?? []) {
