--- a/src/duties/dutyLease.test.ts
+++ b/src/duties/dutyLease.test.ts
@@ -11,12 +11,12 @@
 import { VirtualClock } from "../testing/virtualClock.js";
 import { DutyLease } from "./dutyLease.js";
 
-test("a holder that was started anew and only knows of its earlier life does not keep others from the lease", () => {
+test("a restarted holder that only reports the lease of its previous incarnation does not keep other nodes from acquiring it", () => {
     const clock = VirtualClock.create();
     const table = PeerTable.create({ name: "b", failureDomain: "x", address: "b:1", incarnation: 1 }, clock, 2_000);
     const store = MemoryObjectStore.create(MemoryObjects.create(), clock, clock, SeededRandom.create(1));
     const lease = DutyLease.create(store, clock, { name: "b", incarnation: 1 }, 3_000, table, SilentEventLog.create());
-    const hearHolder = (incarnation: number, isHeldBySender: boolean) => {
+    const receiveDigest = (incarnation: number, isHeldBySender: boolean) => {
         const digest = create(GatewayDigestSchema, {
             member: { name: "a", failureDomain: "x", address: "a:1", incarnation: BigInt(incarnation) },
             isStoreReachable: true,
@@ -25,26 +25,26 @@
         table.recordDigest(digest);
         lease.recordNews("a", 4);
     };
-    hearHolder(1, true);
+    receiveDigest(1, true);
     assert.equal(lease.isHolderHeard(), true);
-    hearHolder(2, false);
+    receiveDigest(2, false);
     assert.equal(lease.isHolderHeard(), false);
 });
 
-test("a holder whose host was suspended before the answer to its write holds nothing when it wakes", async () => {
-    const world = VirtualClock.create();
+test("a node whose host is suspended while its lease write is pending does not assume that it holds the lease after it resumes", async () => {
+    const virtualClock = VirtualClock.create();
     const term = 3_000;
     let suspended = 0;
     const clock: Clock = {
-        getWallTime: () => world.getWallTime() + suspended,
-        getMonotonicTime: () => world.getMonotonicTime(),
-        sleep: (milliseconds, signal) => world.sleep(milliseconds, signal),
+        getWallTime: () => virtualClock.getWallTime() + suspended,
+        getMonotonicTime: () => virtualClock.getMonotonicTime(),
+        sleep: (milliseconds, signal) => virtualClock.sleep(milliseconds, signal),
     };
-    const store = MemoryObjectStore.create(MemoryObjects.create(), world, world, SeededRandom.create(1));
-    const keeper = LeaseKeeper.create(store, clock, { name: "a", incarnation: 1 }, "leases/duties", term, { recordTaken: () => {} });
-    const taken = keeper.runRound();
+    const store = MemoryObjectStore.create(MemoryObjects.create(), virtualClock, virtualClock, SeededRandom.create(1));
+    const leaseManager = LeaseKeeper.create(store, clock, { name: "a", incarnation: 1 }, "leases/duties", term, { recordTaken: () => {} });
+    const round = leaseManager.runRound();
     suspended = term;
-    await world.runUntil(500);
-    await taken;
-    assert.equal(keeper.getGrant(), undefined);
+    await virtualClock.runUntil(500);
+    await round;
+    assert.equal(leaseManager.getGrant(), undefined);
 });
--- a/src/duties/dutyLease.ts
+++ b/src/duties/dutyLease.ts
@@ -6,19 +6,23 @@
 import { ObjectStore } from "../provider/objectStore.js";
 import { DutyCredentials } from "./types.js";
 
-/** Object that holds the lease of the duties. */
+/** Name of the store object that holds the duty lease. */
 const leaseName = "leases/duties";
 
-/** Age up to which a node leaves the lease to older ones, in milliseconds: it has not heard what was counted before its start. */
-const youngMilliseconds = 15_000;
+/**
+ * Time after its start, in milliseconds, during which a node leaves the lease to nodes that started earlier: it has not
+ * received the usage counted before its start.
+ */
+const recentStartMilliseconds = 15_000;
 
-/** The lease under which one node at a time carries out the duties, and what is known of who holds it. */
+/** The lease whose holder alone carries out the duties, and the latest holder known from this node and its peers. */
 export class DutyLease implements HolderWatch {
-    private readonly keeper: LeaseKeeper;
+    private readonly leaseManager: LeaseKeeper;
     private readonly clock: Clock;
     private knownHolder = "";
     private knownFencing = 0;
-    private lostFencing = 0;
+    /** Highest fencing token that the cloud refused as outdated. */
+    private highestRejectedFencing = 0;
 
     private constructor(
         store: ObjectStore,
@@ -29,8 +33,8 @@
         private readonly log: EventLog,
     ) {
         this.clock = clock;
-        this.keeper = LeaseKeeper.create(store, clock, candidate, leaseName, term, {
-            recordTaken: (_lease, fencing) => this.recordTaken(fencing),
+        this.leaseManager = LeaseKeeper.create(store, clock, candidate, leaseName, term, {
+            recordTaken: (_lease, fencing) => this.recordAcquisition(fencing),
         }, this);
     }
 
@@ -39,33 +43,36 @@
         return new DutyLease(store, clock, candidate, term, table, log);
     }
 
+    /** Acquires and renews the lease until it is released. */
     async runRounds(): Promise<void> {
-        await this.keeper.runRounds();
+        await this.leaseManager.runRounds();
     }
 
-    /** Gives the lease up, so that another node takes it without waiting. */
+    /** Releases the lease, so that another node can acquire it without waiting for its term to end. */
     async release(): Promise<void> {
-        await this.keeper.release();
+        await this.leaseManager.release();
     }
 
-    /** Returns the credentials for a call made now, or undefined when the lease is not certain to be held. */
+    /** Returns the credentials for a call made now; undefined when this node may not hold the lease. */
     getCredentials(): DutyCredentials | undefined {
-        const grant = this.keeper.getGrant();
-        if (grant === undefined || grant.fencing <= this.lostFencing || grant.fencing < this.knownFencing) {
+        const grant = this.leaseManager.getGrant();
+        if (grant === undefined || grant.fencing <= this.highestRejectedFencing || grant.fencing < this.knownFencing) {
             return undefined;
         }
         return { holder: this.candidate.name, fencing: grant.fencing };
     }
 
+    /** Returns the name of the latest known holder; empty when none is known. */
     getHolder(): string {
         return this.getCredentials() === undefined ? this.knownHolder : this.candidate.name;
     }
 
+    /** Returns the fencing token of the latest known holder; 0 when none is known. */
     getFencing(): number {
         return this.knownFencing;
     }
 
-    /** Takes what a peer says of the holder; the highest fencing token is the newest. */
+    /** Merges the holder that a peer reports; the report with the highest fencing token is the latest. */
     recordNews(holder: string, fencing: number): void {
         if (fencing <= this.knownFencing) {
             return;
@@ -73,44 +80,46 @@
         this.knownHolder = holder;
         this.knownFencing = fencing;
         if (holder !== this.candidate.name) {
-            this.keeper.recordLoss();
+            this.leaseManager.recordLoss();
         }
     }
 
-    /** Stops acting under a token that the cloud refused because it has seen a higher one. */
+    /** Gives up a fencing token that the cloud refused because it has accepted a higher one. */
     recordFenced(fencing: number): void {
-        if (fencing > this.lostFencing) {
-            this.lostFencing = fencing;
-            this.keeper.recordLoss();
+        if (fencing > this.highestRejectedFencing) {
+            this.highestRejectedFencing = fencing;
+            this.leaseManager.recordLoss();
             this.log.log(LogEvents.LeaseChanged, { lease: leaseName, state: "fenced off", fencing });
         }
     }
 
+    /** Returns whether this node must not try to acquire the lease: the holder is reachable or an older node should take it. */
     isHolderHeard(): boolean {
-        return this.isKnownHolderHeard() || this.hasOlderCandidate();
+        return this.isKnownHolderReachable() || this.hasOlderCandidate();
     }
 
-    /** Whether this node has just started and an older one could take the lease. */
+    /** Returns whether this node was recently started and a reachable older node could acquire the lease. */
     private hasOlderCandidate(): boolean {
-        if (this.clock.getWallTime() - this.candidate.incarnation > youngMilliseconds) {
+        if (this.clock.getWallTime() - this.candidate.incarnation > recentStartMilliseconds) {
             return false;
         }
         return this.table.listHeard().some(peer =>
             !peer.isLeaving && peer.isStoreReachable
-            && peer.incarnation + youngMilliseconds < this.candidate.incarnation
+            && peer.incarnation + recentStartMilliseconds < this.candidate.incarnation
         );
     }
 
-    private isKnownHolderHeard(): boolean {
+    private isKnownHolderReachable(): boolean {
         const holder = this.table.findPeer(this.knownHolder);
         if (holder === undefined || holder.isLeaving || !this.table.isHeard(holder)) {
             return false;
         }
-        // A peer that lives but cannot reach the store or was fenced off no longer says that it holds the lease.
+        // A reachable peer may have lost the lease: fenced off, it no longer reports holding it; without the store it cannot renew.
         return holder.holdsLease && holder.isStoreReachable;
     }
 
-    private recordTaken(fencing: number): void {
+    /** Records that this node acquired the lease. */
+    private recordAcquisition(fencing: number): void {
         this.knownHolder = this.candidate.name;
         this.knownFencing = fencing;
         this.log.log(LogEvents.LeaseChanged, { lease: leaseName, state: "taken", fencing });
--- a/src/duties/dutyRunner.ts
+++ b/src/duties/dutyRunner.ts
@@ -5,18 +5,18 @@
 import { DutyLease } from "./dutyLease.js";
 import { DutyCredentials } from "./types.js";
 
-/** Pause between two rounds of the duties in milliseconds: short against the notice of a reclaim. */
-const roundMilliseconds = 250;
+/** Pause between two rounds of a duty, in milliseconds: short compared with the notice period of a reclaim. */
+const roundPauseMilliseconds = 250;
 
-/** Pause between two looks whether this node holds the lease, in milliseconds: short against the term of a lease. */
-const idleMilliseconds = 500;
+/** Pause between two checks whether this node holds the lease, in milliseconds: short compared with the term of a lease. */
+const leasePollMilliseconds = 500;
 
-/** A duty of the node that holds the lease. */
+/** A task that runs in rounds on the node that holds the duty lease. */
 export interface Duty {
     runRound(credentials: DutyCredentials): Promise<void>;
 }
 
-/** Runs each duty while this node holds the lease; a slow call of one does not hold up the others. */
+/** Runs the duties while this node holds the lease, each in its own loop so that a slow call of one does not delay the others. */
 export class DutyRunner {
     private readonly stopping = new AbortController();
 
@@ -31,6 +31,7 @@
         return new DutyRunner(lease, duties, clock, log);
     }
 
+    /** Runs the duties; resolves after `stop` when the running rounds have ended. */
     async run(): Promise<void> {
         await Promise.all(this.duties.map(duty => this.runDuty(duty)));
     }
@@ -43,11 +44,11 @@
         while (!this.stopping.signal.aborted) {
             const credentials = this.lease.getCredentials();
             if (credentials === undefined) {
-                await this.clock.sleep(idleMilliseconds, this.stopping.signal);
+                await this.clock.sleep(leasePollMilliseconds, this.stopping.signal);
                 continue;
             }
             await this.runRound(duty, credentials);
-            await this.clock.sleep(roundMilliseconds, this.stopping.signal);
+            await this.clock.sleep(roundPauseMilliseconds, this.stopping.signal);
         }
     }
 
--- a/src/duties/fleetDuty.test.ts
+++ b/src/duties/fleetDuty.test.ts
@@ -20,6 +20,7 @@
 const domains = ["a", "b", "c"];
 const roundMilliseconds = 250;
 
+/** Accepts all calls and records the orders. */
 class RecordingApi implements DutyApi {
     readonly orders: EndpointOrder[] = [];
 
@@ -75,7 +76,7 @@
     return { clock, directory, work, api, duty };
 }
 
-test("endpoints that register one after the other when a deployment starts are not taken away before its load is known", async () => {
+test("endpoints that register one after the other when a deployment starts are not released before its load is measured", async () => {
     const { clock, directory, api, duty } = createDuty();
     await clock.runUntil(1_000);
     const total = 12;
@@ -90,13 +91,13 @@
         await clock.runUntil(clock.getMonotonicTime() + roundMilliseconds);
     }
     const latest = new Map(api.orders.map(order => [`${order.failureDomain}/${order.isReclaimable}`, order.count]));
-    const wanted = [...latest.values()].reduce((sum, count) => sum + count, 0);
+    const ordered = [...latest.values()].reduce((sum, count) => sum + count, 0);
     const kept = domains.reduce((sum, domain) => sum + (latest.get(`${domain}/false`) ?? total / domains.length), 0);
     assert.equal(kept, total, `on demand ${kept} of ${total}: ${JSON.stringify([...latest])}`);
-    assert.equal(wanted <= 2 * total, true, String(wanted));
+    assert.equal(ordered <= 2 * total, true, String(ordered));
 });
 
-test("what was ordered in place of the first endpoints is not kept beside them", async () => {
+test("endpoints ordered to replace the first ones are not kept in addition to them", async () => {
     const { clock, directory, work, api, duty } = createDuty();
     await clock.runUntil(1_000);
     const total = 12;
--- a/src/duties/fleetDuty.ts
+++ b/src/duties/fleetDuty.ts
@@ -9,30 +9,30 @@
 import { RoutedService, ScalingBounds } from "../routes/types.js";
 import { VersionTraffic } from "../versions/versionTraffic.js";
 import { DutyLease } from "./dutyLease.js";
-import { DomainFleet, FleetPlan } from "./fleetPlan.js";
+import { DomainFleet, FleetPlanner } from "./fleetPlan.js";
 import { DutyApi, DutyCredentials, DutyOutcome, EndpointOrder } from "./types.js";
 
-/** Pause between two tries to get reclaimable endpoints where there were none, in milliseconds: each try is a counted call. */
-const offerCheckMilliseconds = 2_000;
-/** Time beyond an endpoint's start after which an order that was not carried out is given again, in milliseconds. */
-const orderMarginMilliseconds = 2_500;
-/** Pause before an order is given again whose answer was lost, in milliseconds: it may still be carried out. */
-const unknownPauseMilliseconds = 1_000;
+/** Pause before reclaimable endpoints are ordered again where none were available, in milliseconds: the cloud counts each call. */
+const unavailableRetryMilliseconds = 2_000;
+/** Time beyond an endpoint's start-up time after which an unfulfilled order is sent again, in milliseconds. */
+const orderCompletionMarginMilliseconds = 2_500;
+/** Pause before a failed order is sent again, in milliseconds: one with an unknown outcome may still take effect. */
+const retryPauseMilliseconds = 1_000;
 
-/** How a fleet is sized, from the settings. */
+/** Settings by which a fleet is sized. */
 export interface FleetSettings {
-    /** Share of their time for which engines are to be busy. */
+    /** Share of the time for which engines should be busy. */
     readonly targetUtilization: number;
-    /** Fewest endpoints that the load is taken to need. */
+    /** Fewest endpoints that are considered necessary whatever the load. */
     readonly leastNeeded: number;
-    /** Time after which an on-demand endpoint that is no longer needed is given back, in milliseconds. */
+    /** Time for which a surplus of on-demand endpoints must last before it is released, in milliseconds. */
     readonly shrinkDelay: number;
-    /** The same for reclaimable endpoints: they cost little, and what they hold of prompts would be read again. */
+    /** The same for reclaimable endpoints: they cost little, and the prompts that they have cached would be processed again. */
     readonly reclaimableShrinkDelay: number;
 }
 
-/** What the duty works with. */
-export interface FleetDutyParts {
+/** Dependencies of the fleet duty. */
+export interface FleetDutyDependencies {
     readonly api: DutyApi;
     readonly clock: Clock;
     readonly log: EventLog;
@@ -44,57 +44,61 @@
     readonly settings: FleetSettings;
 }
 
-/** Time of load after which its measure counts, in milliseconds: twice the time constant of the measure. */
-const measureMilliseconds = 8_000;
+/** Time under load after which the measured load is used, in milliseconds: twice the time constant of its moving average. */
+const loadMeasurementMilliseconds = 8_000;
 
-/** Time without a new endpoint after which those that were there before this node count as known, in milliseconds: two heartbeats. */
-const settleMilliseconds = 2_500;
+/** Time without a new endpoint after which the baseline is complete, in milliseconds: two heartbeats. */
+const baselineSettleMilliseconds = 2_500;
 
-/** What served before the load was measured. */
+/** Endpoints that served when this node took over the duty; the fleet keeps this size until the load has been measured. */
 interface FleetBaseline {
     endpoints: number;
-    /** When an endpoint was last added to it. */
-    grownAt: number;
-    /** Whether all that registered before this node took the duty over is in it. */
-    isKnown: boolean;
-    /** Since when there has been load. */
+    /** Monotonic time at which an endpoint was last added. */
+    lastGrownAt: number;
+    /** Whether the baseline is final, because no endpoint was added for the settle time. */
+    isComplete: boolean;
+    /** Monotonic time at which load was first measured; undefined before. */
     loadSince: number | undefined;
 }
 
+/** Last order for one kind of endpoint of a service in a failure domain. Times are monotonic. */
 interface OrderState {
+    /** Number of endpoints last ordered; undefined before the first order. */
     ordered: number | undefined;
     orderedAt: number;
+    /** Time before which no further order is sent after a failure. */
     retryAt: number;
-    /** Whether the last order for more of this kind was not refused for want of endpoints. */
-    isOffering: boolean;
-    /** Since when fewer endpoints than ordered have been enough. */
-    smallerSince: number | undefined;
+    /** False after an order failed because no endpoint of this kind was available, until an order succeeds. */
+    isAvailable: boolean;
+    /** Time since which fewer endpoints than ordered have been sufficient. */
+    surplusSince: number | undefined;
 }
 
-/** Orders endpoints so that each service has what its load needs. */
+/** Scales the fleet: orders endpoints from the cloud so that each service has as many as its load requires. */
 export class FleetDuty {
     private readonly states = new Map<string, OrderState>();
-    private readonly plan = FleetPlan.create();
+    private readonly planner = FleetPlanner.create();
     private readonly baselines = new Map<string, FleetBaseline>();
     private actingFencing = 0;
 
-    private constructor(private readonly parts: FleetDutyParts) {}
+    private constructor(private readonly dependencies: FleetDutyDependencies) {}
 
-    static create(parts: FleetDutyParts): FleetDuty {
-        return new FleetDuty(parts);
+    static create(dependencies: FleetDutyDependencies): FleetDuty {
+        return new FleetDuty(dependencies);
     }
 
+    /** Plans the fleet of each service with scaling bounds and sends the orders that are due. */
     async runRound(credentials: DutyCredentials): Promise<void> {
         if (credentials.fencing !== this.actingFencing) {
-            // What an earlier holder ordered last is not known: the next orders stand on what is there.
+            // The orders of the previous holder are not known, so the next orders are based on the endpoints that are registered.
             this.states.clear();
             this.baselines.clear();
             this.actingFencing = credentials.fencing;
         }
-        if (this.parts.directory.listAll().length === 0) {
+        if (this.dependencies.directory.listAll().length === 0) {
             return;
         }
-        for (const service of this.parts.configuration.getTable()?.configuration.services ?? []) {
+        for (const service of this.dependencies.configuration.getTable()?.configuration.services ?? []) {
             if (service.scaling !== undefined && service.engine !== undefined) {
                 this.updateBaseline(service);
                 await this.runService(service, service.scaling);
@@ -103,64 +107,66 @@
     }
 
     private async runService(service: RoutedService, scaling: ScalingBounds): Promise<void> {
-        if (this.baselines.get(service.name)?.isKnown !== true) {
+        if (this.baselines.get(service.name)?.isComplete !== true) {
             return;
         }
         const domains = scaling.domainPrices.map(({ failureDomain, price }) => this.createDomain(service, scaling, failureDomain, price));
         const needed = this.computeNeeded(service);
-        const targets = this.plan.computeTargets(domains, { needed, minimum: scaling.minimum, maximum: scaling.maximum });
-        // What is given back must not be missed before what is ordered serves.
-        let spare = this.listServing(service.name).length - needed;
+        const targets = this.planner.computeTargets(domains, { needed, minimum: scaling.minimum, maximum: scaling.maximum });
+        // Endpoints are released only as far as the serving ones exceed the need, since ordered ones may not serve yet.
+        let surplus = this.listServing(service.name).length - needed;
         for (const isReclaimable of [true, false]) {
             for (const target of targets) {
                 const domain = domains.find(candidate => candidate.failureDomain === target.failureDomain);
-                const isRefused = isReclaimable && domain?.hasReclaimable !== true;
+                const isUnavailable = isReclaimable && domain?.isReclaimableAvailable !== true;
                 const planned = isReclaimable ? target.reclaimable : target.onDemand;
-                // Where none could be had, an even part is asked for from time to time.
-                const count = isRefused ? Math.min(scaling.maximum, Math.ceil(needed / domains.length)) : planned;
+                // Where no reclaimable endpoints were available, an even part is ordered from time to time.
+                const count = isUnavailable ? Math.min(scaling.maximum, Math.ceil(needed / domains.length)) : planned;
                 const serving = this.countServing(service.name, target.failureDomain, isReclaimable);
-                const kept = Math.max(count, serving - Math.max(0, spare));
-                spare -= Math.max(0, serving - kept);
+                const kept = Math.max(count, serving - Math.max(0, surplus));
+                surplus -= Math.max(0, serving - kept);
                 await this.orderCount(service, scaling, target.failureDomain, isReclaimable, kept);
             }
         }
     }
 
+    /** Returns the number of endpoints that a service requires: by its measured load, its baseline and the settings. */
     private computeNeeded(service: RoutedService): number {
-        const { settings, work } = this.parts;
+        const { settings, work } = this.dependencies;
         const busyEngines = work.computeTotal(service.name) / millisecondsPerSecond;
         const measured = Math.ceil(busyEngines / settings.targetUtilization);
         return Math.max(settings.leastNeeded, measured, this.computeBaseline(service));
     }
 
     /**
-     * Records what serves, until it is all known. Endpoints register one after the other when a deployment starts; an order by
-     * those that are known would take the others away.
+     * Grows the baseline until it is complete. Endpoints register one after the other when a deployment starts; an order sized
+     * by those registered so far would remove the others.
      */
     private updateBaseline(service: RoutedService): void {
-        const now = this.parts.clock.getMonotonicTime();
+        const now = this.dependencies.clock.getMonotonicTime();
         const serving = this.listServing(service.name).length;
-        const baseline = this.baselines.get(service.name) ?? { endpoints: 0, grownAt: now, isKnown: false, loadSince: undefined };
+        const baseline = this.baselines.get(service.name) ?? { endpoints: 0, lastGrownAt: now, isComplete: false, loadSince: undefined };
         this.baselines.set(service.name, baseline);
-        if (this.parts.work.computeTotal(service.name) > 0) {
+        if (this.dependencies.work.computeTotal(service.name) > 0) {
             baseline.loadSince ??= now;
         }
-        // What comes later was ordered by this duty, partly in place of what was there.
-        baseline.isKnown ||= now - baseline.grownAt >= settleMilliseconds;
-        if (!baseline.isKnown && serving > baseline.endpoints) {
+        // Endpoints that register later were ordered by this duty, partly to replace those of the baseline.
+        baseline.isComplete ||= now - baseline.lastGrownAt >= baselineSettleMilliseconds;
+        if (!baseline.isComplete && serving > baseline.endpoints) {
             baseline.endpoints = serving;
-            baseline.grownAt = now;
+            baseline.lastGrownAt = now;
         }
     }
 
-    /** Returns the endpoints that are kept until the load has been measured for a while: a new holder knows nothing of it. */
+    /** Returns the endpoints to keep until this node, as the new holder, has measured the load for long enough; then 0. */
     private computeBaseline(service: RoutedService): number {
         const baseline = this.baselines.get(service.name);
         return baseline === undefined || this.isMeasured(baseline) ? 0 : baseline.endpoints;
     }
 
     private isMeasured(baseline: FleetBaseline): boolean {
-        return baseline.loadSince !== undefined && this.parts.clock.getMonotonicTime() - baseline.loadSince > measureMilliseconds;
+        return baseline.loadSince !== undefined
+            && this.dependencies.clock.getMonotonicTime() - baseline.loadSince > loadMeasurementMilliseconds;
     }
 
     private createDomain(service: RoutedService, scaling: ScalingBounds, failureDomain: string, price: number): DomainFleet {
@@ -169,27 +175,30 @@
             failureDomain,
             price,
             reclaimable: Math.max(this.countServing(service.name, failureDomain, true), this.countBooting(state, scaling)),
-            hasReclaimable: scaling.reclaimablePrice !== undefined && state.isOffering,
+            isReclaimableAvailable: scaling.reclaimablePrice !== undefined && state.isAvailable,
         };
     }
 
-    /** Returns the endpoints of an order that are still about to serve. */
+    /** Returns the number of endpoints last ordered while they may still be starting; then 0. */
     private countBooting(state: OrderState, scaling: ScalingBounds): number {
-        const age = this.parts.clock.getMonotonicTime() - state.orderedAt;
-        return age < scaling.bootSeconds * millisecondsPerSecond + orderMarginMilliseconds ? state.ordered ?? 0 : 0;
+        const age = this.dependencies.clock.getMonotonicTime() - state.orderedAt;
+        return age < scaling.bootSeconds * millisecondsPerSecond + orderCompletionMarginMilliseconds ? state.ordered ?? 0 : 0;
     }
 
+    /** Counts the serving endpoints of one kind in a failure domain. */
     private countServing(service: string, failureDomain: string, isReclaimable: boolean): number {
         return this.listServing(service).filter(({ entry }) =>
             entry.failureDomain === failureDomain && entry.isReclaimable === isReclaimable
         ).length;
     }
 
+    /** Lists the usable endpoints that carry a service's traffic. */
     private listServing(service: string): FleetEndpoint[] {
-        const { directory, versions } = this.parts;
+        const { directory, versions } = this.dependencies;
         return versions.listCarrying(service, directory.listEndpoints(service)).filter(endpoint => endpoint.isUsable());
     }
 
+    /** Sends an order for the given number of endpoints unless it is already ordered or must wait. */
     private async orderCount(
         service: RoutedService,
         scaling: ScalingBounds,
@@ -197,43 +206,44 @@
         isReclaimable: boolean,
         count: number,
     ): Promise<void> {
-        const now = this.parts.clock.getMonotonicTime();
+        const now = this.dependencies.clock.getMonotonicTime();
         const state = this.getState(service.name, failureDomain, isReclaimable);
         const serving = this.countServing(service.name, failureDomain, isReclaimable);
-        const isStandingOrder = state.ordered === count;
-        const isOverdue = now > state.orderedAt + scaling.bootSeconds * millisecondsPerSecond + orderMarginMilliseconds;
-        if (isStandingOrder && (serving === count || !isOverdue)) {
-            state.smallerSince = undefined;
+        const isAlreadyOrdered = state.ordered === count;
+        const isOverdue = now > state.orderedAt + scaling.bootSeconds * millisecondsPerSecond + orderCompletionMarginMilliseconds;
+        if (isAlreadyOrdered && (serving === count || !isOverdue)) {
+            state.surplusSince = undefined;
             return;
         }
         if (state.ordered === undefined && serving === count) {
             return;
         }
         const isSmaller = count < (state.ordered ?? serving);
-        if (isSmaller && this.parts.versions.isMoving(service.name)) {
-            // An order might take endpoints of either version.
+        if (isSmaller && this.dependencies.versions.isMoving(service.name)) {
+            // A smaller order could remove endpoints of either version.
             return;
         }
-        if (now < state.retryAt || (isSmaller && !this.isLongEnoughSmaller(state, now, isReclaimable))) {
+        if (now < state.retryAt || (isSmaller && !this.isShrinkDelayOver(state, now, isReclaimable))) {
             return;
         }
         await this.sendOrder({ service: service.name, failureDomain, isReclaimable, count }, state, serving);
     }
 
-    private isLongEnoughSmaller(state: OrderState, now: number, isReclaimable: boolean): boolean {
-        const { settings } = this.parts;
-        state.smallerSince ??= now;
-        return now - state.smallerSince >= (isReclaimable ? settings.reclaimableShrinkDelay : settings.shrinkDelay);
+    /** Returns whether a smaller number has been sufficient for the shrink delay; starts the delay when it was not running. */
+    private isShrinkDelayOver(state: OrderState, now: number, isReclaimable: boolean): boolean {
+        const { settings } = this.dependencies;
+        state.surplusSince ??= now;
+        return now - state.surplusSince >= (isReclaimable ? settings.reclaimableShrinkDelay : settings.shrinkDelay);
     }
 
     private async sendOrder(order: EndpointOrder, state: OrderState, serving: number): Promise<void> {
-        const { parts } = this;
-        const credentials = parts.lease.getCredentials();
+        const { dependencies } = this;
+        const credentials = dependencies.lease.getCredentials();
         if (credentials === undefined) {
             return;
         }
-        const now = parts.clock.getMonotonicTime();
-        const sent = await parts.api.orderEndpoints(order, credentials);
+        const now = dependencies.clock.getMonotonicTime();
+        const sent = await dependencies.api.orderEndpoints(order, credentials);
         const fields = {
             duty: "order",
             service: order.service,
@@ -241,30 +251,30 @@
             reclaimable: order.isReclaimable,
             count: order.count,
             serving,
-            work: Math.round(parts.work.computeTotal(order.service)),
+            work: Math.round(dependencies.work.computeTotal(order.service)),
             fencing: credentials.fencing,
         };
         if (sent.ok) {
             state.ordered = order.count;
             state.orderedAt = now;
-            state.smallerSince = undefined;
-            state.isOffering = true;
-            parts.log.log(LogEvents.DutyDone, fields);
+            state.surplusSince = undefined;
+            state.isAvailable = true;
+            dependencies.log.log(LogEvents.DutyDone, fields);
             return;
         }
-        this.settleFailure(sent.val.outcome, state, credentials.fencing);
-        parts.log.log(LogEvents.DutyFailed, { ...fields, outcome: sent.val.outcome, cause: sent.val.text });
+        this.handleOrderFailure(sent.val.outcome, state, credentials.fencing);
+        dependencies.log.log(LogEvents.DutyFailed, { ...fields, outcome: sent.val.outcome, cause: sent.val.text });
     }
 
-    private settleFailure(outcome: DutyOutcome, state: OrderState, fencing: number): void {
-        const now = this.parts.clock.getMonotonicTime();
-        state.retryAt = now + unknownPauseMilliseconds;
+    private handleOrderFailure(outcome: DutyOutcome, state: OrderState, fencing: number): void {
+        const now = this.dependencies.clock.getMonotonicTime();
+        state.retryAt = now + retryPauseMilliseconds;
         if (outcome === DutyOutcome.Fenced) {
-            this.parts.lease.recordFenced(fencing);
+            this.dependencies.lease.recordFenced(fencing);
         }
         if (outcome === DutyOutcome.Unavailable) {
-            state.isOffering = false;
-            state.retryAt = now + offerCheckMilliseconds;
+            state.isAvailable = false;
+            state.retryAt = now + unavailableRetryMilliseconds;
         }
     }
 
@@ -278,8 +288,8 @@
             ordered: undefined,
             orderedAt: -Infinity,
             retryAt: -Infinity,
-            isOffering: true,
-            smallerSince: undefined,
+            isAvailable: true,
+            surplusSince: undefined,
         };
         this.states.set(key, state);
         return state;
--- a/src/duties/fleetPlan.test.ts
+++ b/src/duties/fleetPlan.test.ts
@@ -1,10 +1,10 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DomainFleet, FleetPlan } from "./fleetPlan.js";
+import { DomainFleet, FleetPlanner } from "./fleetPlan.js";
 
-function createDomain(failureDomain: string, parts: Partial<DomainFleet> = {}): DomainFleet {
-    return { failureDomain, price: 1, reclaimable: 0, hasReclaimable: true, ...parts };
+function createDomain(failureDomain: string, overrides: Partial<DomainFleet> = {}): DomainFleet {
+    return { failureDomain, price: 1, reclaimable: 0, isReclaimableAvailable: true, ...overrides };
 }
 
 function countTargets(targets: readonly { reclaimable: number; onDemand: number; }[]) {
@@ -13,40 +13,40 @@
     return { reclaimable, onDemand };
 }
 
-test("calm: reclaimable endpoints carry the load, spread evenly, and on-demand ones are not needed", () => {
+test("available reclaimable endpoints carry the load, spread evenly, without on-demand ones", () => {
     const domains = ["a", "b", "c"].map(name => createDomain(name, { reclaimable: 2 }));
-    const targets = FleetPlan.create().computeTargets(domains, { needed: 6, minimum: 1, maximum: 8 });
+    const targets = FleetPlanner.create().computeTargets(domains, { needed: 6, minimum: 1, maximum: 8 });
     assert.deepEqual(targets.map(target => target.reclaimable), [2, 2, 2]);
     assert.equal(countTargets(targets).onDemand, 0);
 });
 
-test("a failure domain is reclaimed and offers none for a while: the others take its part, on-demand ones the rest", () => {
+test("other failure domains and on-demand endpoints replace the reclaimable endpoints of a reclaimed failure domain", () => {
     const domains = [
-        createDomain("a", { reclaimable: 0, hasReclaimable: false }),
+        createDomain("a", { reclaimable: 0, isReclaimableAvailable: false }),
         createDomain("b", { reclaimable: 2 }),
         createDomain("c", { reclaimable: 2 }),
     ];
-    const targets = FleetPlan.create().computeTargets(domains, { needed: 6, minimum: 1, maximum: 8 });
+    const targets = FleetPlanner.create().computeTargets(domains, { needed: 6, minimum: 1, maximum: 8 });
     assert.equal(countTargets(targets).reclaimable, 6);
     assert.equal(countTargets(targets).onDemand >= 2, true);
 });
 
-test("nothing reclaimable is to be had anywhere: the whole load is carried on demand", () => {
-    const domains = ["a", "b", "c"].map(name => createDomain(name, { hasReclaimable: false }));
-    const targets = FleetPlan.create().computeTargets(domains, { needed: 6, minimum: 1, maximum: 8 });
+test("on-demand endpoints carry the whole load when no failure domain has reclaimable ones available", () => {
+    const domains = ["a", "b", "c"].map(name => createDomain(name, { isReclaimableAvailable: false }));
+    const targets = FleetPlanner.create().computeTargets(domains, { needed: 6, minimum: 1, maximum: 8 });
     assert.deepEqual(countTargets(targets), { reclaimable: 0, onDemand: 6 });
 });
 
-test("no plan leaves the bounds of a failure domain, and every plan carries the load where the bounds allow it", () => {
+test("every plan keeps the bounds of each failure domain and carries the load as far as the bounds allow", () => {
     const domainArbitrary = fc.record({
         price: fc.double({ min: 0.1, max: 3, noNaN: true }),
         reclaimable: fc.integer({ min: 0, max: 8 }),
-        hasReclaimable: fc.boolean(),
+        isReclaimableAvailable: fc.boolean(),
     });
     fc.assert(
-        fc.property(fc.array(domainArbitrary, { minLength: 1, maxLength: 6 }), fc.integer({ min: 0, max: 30 }), (parts, needed) => {
-            const domains = parts.map((part, index) => ({ ...part, failureDomain: `domain-${index}` }));
-            const targets = FleetPlan.create().computeTargets(domains, { needed, minimum: 1, maximum: 8 });
+        fc.property(fc.array(domainArbitrary, { minLength: 1, maxLength: 6 }), fc.integer({ min: 0, max: 30 }), (generated, needed) => {
+            const domains = generated.map((domain, index) => ({ ...domain, failureDomain: `domain-${index}` }));
+            const targets = FleetPlanner.create().computeTargets(domains, { needed, minimum: 1, maximum: 8 });
             for (const target of targets) {
                 assert.equal(target.reclaimable + target.onDemand >= 1 && target.reclaimable + target.onDemand <= 8, true);
             }
--- a/src/duties/fleetPlan.ts
+++ b/src/duties/fleetPlan.ts
@@ -1,26 +1,28 @@
-/** Share of the needed endpoints that must still serve when the failure domain with most reclaimable ones loses them all. */
-const shareAfterReclaim = 0.6;
+/** Share of the needed endpoints that must remain when the failure domain with the most reclaimable ones loses all of them. */
+const servingShareAfterReclaim = 0.6;
 
-/** What is wanted and there in one failure domain. */
+/** Price and reclaimable endpoints of one failure domain. */
 export interface DomainFleet {
     readonly failureDomain: string;
+    /** Relative price; cheaper failure domains are filled first. */
     readonly price: number;
-    /** Reclaimable endpoints that serve or are about to. */
+    /** Reclaimable endpoints that serve or are starting. */
     readonly reclaimable: number;
-    /** Whether reclaimable endpoints can be had there now, as far as is known. */
-    readonly hasReclaimable: boolean;
+    /** Whether further reclaimable endpoints are assumed to be available there. */
+    readonly isReclaimableAvailable: boolean;
 }
 
-/** Bounds and needs of a service's fleet. */
+/** Required size and bounds of a service's fleet, in endpoints. */
 export interface FleetNeeds {
-    /** Endpoints that the load needs. */
+    /** Endpoints required by the load. */
     readonly needed: number;
-    /** Bounds for each failure domain, both kinds together. */
+    /** Fewest endpoints in each failure domain, reclaimable and on-demand ones together. */
     readonly minimum: number;
+    /** Most endpoints in each failure domain, reclaimable and on-demand ones together. */
     readonly maximum: number;
 }
 
-/** Endpoints to have in one failure domain. */
+/** Planned number of endpoints of each kind in one failure domain. */
 export interface DomainTarget {
     readonly failureDomain: string;
     reclaimable: number;
@@ -28,35 +30,36 @@
 }
 
 /**
- * Plans a fleet of reclaimable endpoints, spread over the failure domains, and of on-demand ones for what reclaimable ones
- * do not cover: what cannot be had, and what the loss of one whole failure domain would leave too little of.
+ * Plans a fleet of reclaimable endpoints, spread over the failure domains. On-demand endpoints are added where reclaimable
+ * ones are not available, and so that enough endpoints remain when one failure domain loses all its reclaimable ones.
  */
-export class FleetPlan {
+export class FleetPlanner {
     private constructor() {}
 
-    static create(): FleetPlan {
-        return new FleetPlan();
+    static create(): FleetPlanner {
+        return new FleetPlanner();
     }
 
+    /** Returns a target for each failure domain, the cheapest first. */
     computeTargets(domains: readonly DomainFleet[], needs: FleetNeeds): DomainTarget[] {
         const byPrice = [...domains].sort((left, right) => left.price - right.price);
         const targets = byPrice.map(domain => ({
             failureDomain: domain.failureDomain,
-            // What serves is kept also where no more can be had.
-            reclaimable: domain.hasReclaimable ? 0 : Math.min(domain.reclaimable, needs.maximum),
+            // Reclaimable endpoints that already serve are kept where no further ones are available.
+            reclaimable: domain.isReclaimableAvailable ? 0 : Math.min(domain.reclaimable, needs.maximum),
             onDemand: 0,
         }));
-        const offering = targets.filter((_target, index) => byPrice[index]?.hasReclaimable === true);
-        this.addReclaimable(offering, targets, needs);
+        const available = targets.filter((_target, index) => byPrice[index]?.isReclaimableAvailable === true);
+        this.addReclaimable(available, targets, needs);
         this.addOnDemand(targets, domains, needs);
         return targets;
     }
 
-    /** Spreads reclaimable endpoints evenly over the failure domains that offer them, the cheapest first. */
-    private addReclaimable(offering: DomainTarget[], targets: readonly DomainTarget[], needs: FleetNeeds): void {
+    /** Spreads the missing reclaimable endpoints evenly over the failure domains where they are available, the cheapest first. */
+    private addReclaimable(available: DomainTarget[], targets: readonly DomainTarget[], needs: FleetNeeds): void {
         let missing = needs.needed - targets.reduce((sum, target) => sum + target.reclaimable, 0);
         while (missing > 0) {
-            const least = selectSmallest(offering.filter(target => target.reclaimable < needs.maximum), target => target.reclaimable);
+            const least = selectSmallest(available.filter(target => target.reclaimable < needs.maximum), target => target.reclaimable);
             if (least === undefined) {
                 return;
             }
@@ -65,11 +68,12 @@
         }
     }
 
+    /** Adds on-demand endpoints for missing reclaimable ones, for the loss of a failure domain and up to the minimum. */
     private addOnDemand(targets: DomainTarget[], domains: readonly DomainFleet[], needs: FleetNeeds): void {
         const serving = domains.map(domain => domain.reclaimable);
         const total = serving.reduce((sum, count) => sum + count, 0);
-        const certain = total - Math.max(0, ...serving);
-        let missing = Math.max(needs.needed - total, Math.ceil(needs.needed * shareAfterReclaim) - certain);
+        const remainingAfterReclaim = total - Math.max(0, ...serving);
+        let missing = Math.max(needs.needed - total, Math.ceil(needs.needed * servingShareAfterReclaim) - remainingAfterReclaim);
         while (missing > 0) {
             const open = targets.filter(target => target.onDemand + target.reclaimable < needs.maximum);
             const least = selectSmallest(open, target => target.onDemand);
--- a/src/duties/types.ts
+++ b/src/duties/types.ts
@@ -1,37 +1,38 @@
 import { Result } from "../common/results.js";
 import { TeamUsage } from "../usage/usageCounter.js";
 
-/** Under whose lease a call to the cloud API is made. */
+/** Lease holder and fencing token with which a call to the cloud API is made. */
 export interface DutyCredentials {
     readonly holder: string;
     readonly fencing: number;
 }
 
-/** What is known of a duty's call that was not accepted. */
+/** Outcome of a duty's cloud API call that was not accepted. */
 export enum DutyOutcome {
-    /** A holder with a higher fencing token was seen. */
+    /** The cloud API has already accepted a higher fencing token. */
     Fenced = "fenced",
-    /** What was ordered cannot be had now. */
+    /** The cloud has no capacity for the order now. */
     Unavailable = "unavailable",
-    /** It was refused for another reason, or too often; nothing was done. */
+    /** The call was refused for another reason or by a rate limit; it took no effect. */
     Refused = "refused",
-    /** The answer was lost; it may have been done, or be done later. */
+    /** No response arrived; the call may have taken effect or take effect later. */
     Unknown = "unknown",
 }
 
-/** A duty's call that was not accepted. */
+/** Failure of a duty's cloud API call. */
 export interface DutyFailure {
     readonly outcome: DutyOutcome;
+    /** Cause, for log lines. */
     readonly text: string;
 }
 
-/** The usage of one window, counted over all nodes. */
+/** Number of requests of each team in one window, counted over all nodes. */
 export interface UsageReport {
     readonly window: number;
     readonly counts: readonly TeamUsage[];
 }
 
-/** An order for a number of endpoints of one kind. */
+/** An order to the cloud to run `count` endpoints of one kind in one failure domain. */
 export interface EndpointOrder {
     readonly service: string;
     readonly failureDomain: string;
@@ -39,7 +40,7 @@
     readonly count: number;
 }
 
-/** The calls to the cloud that are the duty of one node at a time. */
+/** Cloud API calls that only the holder of the duty lease makes. */
 export interface DutyApi {
     sendUsage(report: UsageReport, credentials: DutyCredentials): Promise<Result<void, DutyFailure>>;
     orderEndpoints(order: EndpointOrder, credentials: DutyCredentials): Promise<Result<void, DutyFailure>>;
--- a/src/duties/usageDuty.test.ts
+++ b/src/duties/usageDuty.test.ts
@@ -13,7 +13,7 @@
 import { DutyApi, DutyCredentials, DutyFailure, DutyOutcome, UsageReport } from "./types.js";
 import { UsageDuty } from "./usageDuty.js";
 
-/** Windows of which few and of which many are due at once, in milliseconds. */
+/** Window lengths in milliseconds: with the first few reports are due at once, with the second many. */
 const windowLengths = [5_000, 1_000];
 
 interface SentReport {
@@ -21,7 +21,7 @@
     readonly credentials: DutyCredentials;
 }
 
-/** Accepts reports under the highest token; loses a share of the answers. */
+/** Accepts reports unless a higher fencing token was used before; drops a share of the responses. */
 class RecordingApi implements DutyApi {
     readonly accepted: SentReport[] = [];
     private highest = 0;
@@ -47,7 +47,7 @@
 }
 
 for (const windowLength of windowLengths) {
-    test(`whoever holds the lease, and however answers are lost, all reports of a window of ${windowLength} ms say the same`, async () => {
+    test(`all reports of a window of ${windowLength} ms have the same counts, whichever node holds the lease and whichever responses are lost`, async () => {
         await Promise.all(Array.from({ length: 30 }, (_value, index) => checkReports(index + 1, windowLength)));
     });
 }
@@ -82,7 +82,7 @@
         });
         for (let step = 0; step < 120; step += 1) {
             await clock.runUntil(step * 500);
-            // Each node counts differently: a successor that counted anew would send other figures.
+            // Each node counts differently, so a new lease holder that recomputed a report would send different counts.
             nodes.forEach((node, index) => node.counter.recordRun("shops", clock.getMonotonicTime() - index));
             if (random.pickFraction() < 0.05) {
                 const holder = nodes.find(node => node.lease.getCredentials() !== undefined);
@@ -108,7 +108,7 @@
     }
 }
 
-test("a successor that has counted nothing repeats every report that is still due", async () => {
+test("a new lease holder without counts of its own sends every report that is still due again, unchanged", async () => {
     const clock = VirtualClock.create();
     const objects = MemoryObjects.create(() => clock.getMonotonicTime());
     const api = RecordingApi.create(1, 0);
--- a/src/duties/usageDuty.ts
+++ b/src/duties/usageDuty.ts
@@ -10,23 +10,23 @@
 import { DutyLease } from "./dutyLease.js";
 import { DutyApi, DutyCredentials, DutyOutcome, UsageReport } from "./types.js";
 
-/** Object that holds the reports of the last windows. */
-const recordName = "usage/reports";
-/** Reports that the record keeps beyond those that can be due at once: those of windows that are about to be. */
-const spareReports = 3;
-/** Time after a window's end for the peers' last counts to arrive, in milliseconds: two exchanges and some. */
-const settleMilliseconds = 1_500;
-/** Time after which the duty no longer waits for the counts of a peer that is silent, as a share of what a report has. */
-const patienceShare = 0.75;
+/** Name of the store object that holds the reports of the last windows. */
+const reportsObjectName = "usage/reports";
+/** Reports stored in addition to those that can be due at once, for windows whose reports are about to become due. */
+const extraStoredReports = 3;
+/** Time after a window's end for the last counts of peers to arrive, in milliseconds: two gossip exchanges, plus a margin. */
+const countArrivalMilliseconds = 1_500;
+/** Share of the due time after which the duty no longer waits for the counts of unreachable peers. */
+const missingPeerWaitShare = 0.75;
 
 const reportSchema = z.object({
     window: z.number().int(),
     counts: z.array(z.object({ team: z.string(), requests: z.number().int() })),
 });
-const recordSchema = z.object({ reports: z.array(reportSchema) });
+const storedReportsSchema = z.object({ reports: z.array(reportSchema) });
 
-/** What the duty works with. Times are in milliseconds. */
-export interface UsageDutyParts {
+/** Dependencies of the usage duty. Times are in milliseconds. */
+export interface UsageDutyDependencies {
     readonly store: ObjectStore;
     readonly api: DutyApi;
     readonly clock: Clock;
@@ -40,54 +40,57 @@
 }
 
 /**
- * Reports the usage of each window once. The counts are written to the store before they are sent, so that a successor
- * repeats them exactly instead of sending others.
+ * Reports the usage of each window to the cloud, with the same counts whenever it is sent again. To this end the counts are
+ * written to the store first, so that the next lease holder sends them instead of computing different ones.
  */
 export class UsageDuty {
     private record: StoredObject | undefined;
+    /** Reports in the stored record. */
     private reports: readonly UsageReport[] = [];
+    /** Windows whose reports this node sent successfully. */
     private readonly accepted = new Set<number>();
+    /** Fencing token under which the record was loaded; 0 when it must be loaded again. */
     private actingFencing = 0;
 
-    private constructor(private readonly parts: UsageDutyParts) {}
+    private constructor(private readonly dependencies: UsageDutyDependencies) {}
 
-    static create(parts: UsageDutyParts): UsageDuty {
-        return new UsageDuty(parts);
+    static create(dependencies: UsageDutyDependencies): UsageDuty {
+        return new UsageDuty(dependencies);
     }
 
-    /** Reports the windows that are ready, the oldest first. */
+    /** Sends the reports of the windows that are ready, the oldest first, up to the first failure. */
     async runRound(credentials: DutyCredentials): Promise<void> {
-        if (credentials.fencing !== this.actingFencing && !await this.loadRecord(credentials)) {
+        if (credentials.fencing !== this.actingFencing && !await this.loadStoredReports(credentials)) {
             return;
         }
         for (const window of this.listReadyWindows()) {
-            const report = this.findReport(window) ?? await this.recordReport(window);
+            const report = this.findReport(window) ?? await this.storeReport(window);
             if (report === undefined || !await this.sendReport(report)) {
                 return;
             }
         }
     }
 
-    /** Reads what earlier holders reported. */
-    private async loadRecord(credentials: DutyCredentials): Promise<boolean> {
-        const found = await this.parts.store.getObject(recordName);
+    /** Loads the reports that earlier holders stored; returns false when the store could not be read. */
+    private async loadStoredReports(credentials: DutyCredentials): Promise<boolean> {
+        const found = await this.dependencies.store.getObject(reportsObjectName);
         if (found.err) {
             return false;
         }
         this.record = found.val;
-        const parsed = recordSchema.safeParse(found.val?.value);
+        const parsed = storedReportsSchema.safeParse(found.val?.value);
         this.reports = parsed.success ? parsed.data.reports : [];
         this.actingFencing = credentials.fencing;
         return true;
     }
 
-    /** Returns the windows that have ended, whose counts are in, and whose report is still due. */
+    /** Returns the ended windows whose report is due, not yet accepted, and either stored or computable from complete counts. */
     private listReadyWindows(): number[] {
-        const { clock, counter, dueTime } = this.parts;
+        const { clock, counter, dueTime } = this.dependencies;
         const now = clock.getWallTime();
         const oldest = counter.getWindow(now - dueTime);
         const windows: number[] = [];
-        for (let window = oldest; counter.getWindowEnd(window) + settleMilliseconds <= now; window += 1) {
+        for (let window = oldest; counter.getWindowEnd(window) + countArrivalMilliseconds <= now; window += 1) {
             const isDue = now < counter.getWindowEnd(window) + dueTime;
             if (isDue && !this.accepted.has(window) && (this.findReport(window) !== undefined || this.hasAllCounts(window, now))) {
                 windows.push(window);
@@ -96,21 +99,21 @@
         return windows;
     }
 
-    /** Whether every node that serves has told its counts since the window ended, or has been waited for long enough. */
+    /** Returns whether every peer ever reached has sent its counts since the window ended, or the wait for missing peers is over. */
     private hasAllCounts(window: number, now: number): boolean {
-        const { clock, counter, table, dueTime } = this.parts;
+        const { clock, counter, table, dueTime } = this.dependencies;
         const sinceEnd = now - counter.getWindowEnd(window);
-        if (sinceEnd >= dueTime * patienceShare) {
+        if (sinceEnd >= dueTime * missingPeerWaitShare) {
             return true;
         }
         const endedAt = clock.getMonotonicTime() - sinceEnd;
         return table.listPeers().every(peer => peer.heardAt > endedAt || peer.heardAt === -Infinity);
     }
 
-    /** Returns the newest reports: as many as a successor may have to repeat. */
-    private listKept(reports: readonly UsageReport[]): UsageReport[] {
-        const { counter, dueTime } = this.parts;
-        const kept = Math.ceil(dueTime / counter.windowLength) + spareReports;
+    /** Returns the newest reports, as many as the next lease holder may have to send again. */
+    private listRetainedReports(reports: readonly UsageReport[]): UsageReport[] {
+        const { counter, dueTime } = this.dependencies;
+        const kept = Math.ceil(dueTime / counter.windowLength) + extraStoredReports;
         return [...reports].sort((left, right) => left.window - right.window).slice(-kept);
     }
 
@@ -118,17 +121,17 @@
         return this.reports.find(report => report.window === window);
     }
 
-    /** Computes the report of a window and stores it; undefined when the store did not take it. */
-    private async recordReport(window: number): Promise<UsageReport | undefined> {
-        const { parts } = this;
-        parts.ledger.recordUsage(describeLife(parts.table.identity), window, parts.counter.listUsage(window));
-        const report: UsageReport = { window, counts: parts.ledger.computeCounts(window) };
-        const reports = this.listKept([...this.reports, report]);
-        const written = await writeObject(parts.store, recordName, { reports }, this.record);
+    /** Computes the report of a window and stores it; undefined when the write failed or its outcome is unknown. */
+    private async storeReport(window: number): Promise<UsageReport | undefined> {
+        const { dependencies } = this;
+        dependencies.ledger.recordUsage(describeLife(dependencies.table.identity), window, dependencies.counter.listUsage(window));
+        const report: UsageReport = { window, counts: dependencies.ledger.computeCounts(window) };
+        const reports = this.listRetainedReports([...this.reports, report]);
+        const written = await writeObject(dependencies.store, reportsObjectName, { reports }, this.record);
         if (written.err) {
-            // Whatever became of the write, the record is read again before anything else is sent.
+            // The write may have taken effect, so the record is loaded again before anything else is sent.
             this.actingFencing = 0;
-            parts.log.log(LogEvents.DutyFailed, {
+            dependencies.log.log(LogEvents.DutyFailed, {
                 duty: "usage record",
                 window,
                 outcome: written.val.outcome,
@@ -136,28 +139,29 @@
             });
             return undefined;
         }
-        this.record = { name: recordName, revision: written.val, value: { reports } };
+        this.record = { name: reportsObjectName, revision: written.val, value: { reports } };
         this.reports = reports;
         return report;
     }
 
+    /** Sends a report; returns whether the cloud accepted it. */
     private async sendReport(report: UsageReport): Promise<boolean> {
-        const { parts } = this;
-        const credentials = parts.lease.getCredentials();
+        const { dependencies } = this;
+        const credentials = dependencies.lease.getCredentials();
         if (credentials === undefined) {
             return false;
         }
-        const sent = await parts.api.sendUsage(report, credentials);
+        const sent = await dependencies.api.sendUsage(report, credentials);
         const requests = report.counts.reduce((sum, count) => sum + count.requests, 0);
         if (sent.ok) {
             this.accepted.add(report.window);
-            parts.log.log(LogEvents.DutyDone, { duty: "usage", window: report.window, requests, fencing: credentials.fencing });
+            dependencies.log.log(LogEvents.DutyDone, { duty: "usage", window: report.window, requests, fencing: credentials.fencing });
             return true;
         }
         if (sent.val.outcome === DutyOutcome.Fenced) {
-            parts.lease.recordFenced(credentials.fencing);
+            dependencies.lease.recordFenced(credentials.fencing);
         }
-        parts.log.log(LogEvents.DutyFailed, {
+        dependencies.log.log(LogEvents.DutyFailed, {
             duty: "usage",
             window: report.window,
             outcome: sent.val.outcome,
--- a/src/duties/versionMoveDuty.ts
+++ b/src/duties/versionMoveDuty.ts
@@ -10,11 +10,11 @@
 import { DutyLease } from "./dutyLease.js";
 import { Duty } from "./dutyRunner.js";
 
-/** Attempts at the new version without which nothing is known of it. */
-const leastAttempts = 3;
+/** Fewest attempts at the new version from which its health can be judged. */
+const minimumNewVersionAttempts = 3;
 
-/** What the duty works with. */
-export interface VersionMoveDutyParts {
+/** Dependencies of the version move duty. */
+export interface VersionMoveDutyDependencies {
     readonly clock: Clock;
     readonly log: EventLog;
     readonly lease: DutyLease;
@@ -25,78 +25,82 @@
     readonly schedule: MoveSchedule;
 }
 
-/** Carries version moves out: takes each through its stages, and ends it by its deadline with a true account. */
+/** Advances each version move through its stages, and completes it or rolls it back by its deadline with a stored account. */
 export class VersionMoveDuty implements Duty {
-    private constructor(private readonly parts: VersionMoveDutyParts) {}
+    private constructor(private readonly dependencies: VersionMoveDutyDependencies) {}
 
-    static create(parts: VersionMoveDutyParts): VersionMoveDuty {
-        return new VersionMoveDuty(parts);
+    static create(dependencies: VersionMoveDutyDependencies): VersionMoveDuty {
+        return new VersionMoveDuty(dependencies);
     }
 
+    /** Stores a new account for each running move whose stage changes. */
     async runRound(): Promise<void> {
-        for (const move of this.parts.moves.listRunning()) {
+        for (const move of this.dependencies.moves.listRunning()) {
             await this.runMove(move);
         }
     }
 
     private async runMove(move: VersionMove): Promise<void> {
         const account = this.createAccount(move);
-        if (account.stage === move.account?.stage || this.parts.lease.getCredentials() === undefined) {
+        if (account.stage === move.account?.stage || this.dependencies.lease.getCredentials() === undefined) {
             return;
         }
         const fields = { duty: "version move", service: move.order.service, target: account.target, stage: account.stage };
-        const written = await this.parts.accounts.writeAccount(move.object, account);
+        const written = await this.dependencies.accounts.writeAccount(move.object, account);
         if (written.err) {
-            // After a lost answer the next round writes again; if the first one took effect, its condition fails.
+            // After an unknown outcome the next round writes again; its condition fails if the first write took effect.
             const { outcome, failure } = written.val;
-            this.parts.log.log(LogEvents.DutyFailed, { ...fields, outcome, cause: failure.text });
+            this.dependencies.log.log(LogEvents.DutyFailed, { ...fields, outcome, cause: failure.text });
             return;
         }
-        this.parts.moves.recordAccount(move, { ...move.object, revision: written.val }, account);
-        this.parts.log.log(LogEvents.DutyDone, { ...fields, revision: written.val, reason: account.reason });
+        this.dependencies.moves.recordAccount(move, { ...move.object, revision: written.val }, account);
+        this.dependencies.log.log(LogEvents.DutyDone, { ...fields, revision: written.val, reason: account.reason });
     }
 
+    /** Returns the account that a move should have now; its stage differs from the stored one when the move must advance. */
     private createAccount(move: VersionMove): MoveAccount {
         const { target } = move.order;
         const { deadline } = move;
         if (move.finding !== undefined) {
             return { target, deadline, stage: MoveStage.RolledBack, reason: move.finding };
         }
-        const timeLeft = deadline - this.parts.clock.getWallTime();
+        const timeLeft = deadline - this.dependencies.clock.getWallTime();
         const exposed = move.evidence.computeCounts(VersionSide.New).trials;
         if (timeLeft > settleMarginMilliseconds) {
             const stage = this.computeStage(move, timeLeft, exposed);
             return { target, deadline, stage, reason: `${exposed} attempts show no fault` };
         }
-        const hasEndpoints = this.parts.directory.listEndpoints(move.order.service)
+        const hasEndpoints = this.dependencies.directory.listEndpoints(move.order.service)
             .some(endpoint => endpoint.isUsable() && endpoint.entry.version === target);
-        if (!hasEndpoints || exposed < leastAttempts) {
+        if (!hasEndpoints || exposed < minimumNewVersionAttempts) {
             const reason = hasEndpoints ? `only ${exposed} attempts by the deadline` : "no endpoint of the new version by the deadline";
             return { target, deadline, stage: MoveStage.RolledBack, reason };
         }
         return { target, deadline, stage: MoveStage.Done, reason: `${exposed} attempts show no fault` };
     }
 
+    /** Returns the stage of a move whose deadline is not near. */
     private computeStage(move: VersionMove, timeLeft: number, exposed: number): MoveStage {
         const { evidence } = move;
-        const boundRoutes = this.listBoundRoutes(move.order.service);
-        const boundStreams = boundRoutes.reduce((sum, route) => {
+        const nonResumableRoutes = this.listNonResumableRoutes(move.order.service);
+        const boundStreams = nonResumableRoutes.reduce((sum, route) => {
             const counts = [VersionSide.Old, VersionSide.New].map(side => evidence.computeCounts(side, route).trials);
             return sum + counts.reduce((total, count) => total + count, 0);
         }, 0);
-        const planned = this.parts.schedule.computeStage({
+        const planned = this.dependencies.schedule.computeStage({
             duration: move.order.duration,
             timeLeft,
             attempts: evidence.computeCounts(VersionSide.Old).trials + exposed,
             exposed,
             boundStreams,
         });
-        // Without any sign of the new version requests are not sent to it alone.
-        return exposed < leastAttempts ? MoveStage.Trial : planned;
+        // The new version does not get all requests before enough attempts have shown that it works.
+        return exposed < minimumNewVersionAttempts ? MoveStage.Trial : planned;
     }
 
-    private listBoundRoutes(service: string): string[] {
-        const routes = this.parts.configuration.getTable()?.configuration.routes ?? [];
+    /** Lists the routes to a service whose streams cannot be resumed at another endpoint. */
+    private listNonResumableRoutes(service: string): string[] {
+        const routes = this.dependencies.configuration.getTable()?.configuration.routes ?? [];
         return routes
             .filter(route => route.kind === RouteKind.Stream && !route.isResumable && route.shares.some(share => share.service === service))
             .map(route => route.name);
