--- a/src/duties/fleetDuty.ts
+++ b/src/duties/fleetDuty.ts
@@ -280,9 +280,9 @@
 
     private getState(service: string, failureDomain: string, isReclaimable: boolean): OrderState {
         const key = `${service}\n${failureDomain}\n${isReclaimable}`;
-        const known = this.states.get(key);
-        if (known !== undefined) {
-            return known;
+        const existing = this.states.get(key);
+        if (existing !== undefined) {
+            return existing;
         }
         const state: OrderState = {
             ordered: undefined,
--- a/src/quotas/sharedRateLimiter.ts
+++ b/src/quotas/sharedRateLimiter.ts
@@ -161,8 +161,8 @@
 
     /** Removes the sources that the predicate rejects, because another source's sum includes their nodes. */
     removeOthers(isKept: (source: string) => boolean): void {
-        for (const { peerDemands: others } of this.buckets.values()) {
-            [...others.keys()].filter(source => !isKept(source)).forEach(source => others.delete(source));
+        for (const { peerDemands } of this.buckets.values()) {
+            [...peerDemands.keys()].filter(source => !isKept(source)).forEach(source => peerDemands.delete(source));
         }
     }
 
