--- a/src/endpoints/connectionVerdict.ts
+++ b/src/endpoints/connectionVerdict.ts
@@ -4,21 +4,21 @@
 import { describeError, Failure } from "../common/failure.js";
 import { Verdict } from "../common/verdict.js";
 
-/** Follows the socket events of one request, to tell what a later failure proves. */
-export class ConnectionVerdict {
+/** Tracks the socket events of one request to decide whether the request may have reached the endpoint when it fails. */
+export class ConnectionTracker {
     private isConnected = false;
 
     private constructor() {}
 
-    static create(): ConnectionVerdict {
-        return new ConnectionVerdict();
+    static create(): ConnectionTracker {
+        return new ConnectionTracker();
     }
 
-    /** Watches a request from its creation on. */
+    /** Starts tracking a request; must be called right after the request is created, before it has a socket. */
     observeRequest(request: ClientRequest): void {
         request.once("socket", (socket: Socket) => {
             if (!socket.connecting) {
-                // A pooled connection: the request may reach the endpoint from here on.
+                // A pooled connection is already established, so the request may reach the endpoint from now on.
                 this.isConnected = true;
                 return;
             }
@@ -28,12 +28,12 @@
         });
     }
 
-    /** Returns NotRun while no connection was established, and MayHaveRun after. */
+    /** Returns NotRun until a connection is established, MayHaveRun afterwards. */
     getVerdict(): Verdict {
         return this.isConnected ? Verdict.MayHaveRun : Verdict.NotRun;
     }
 
-    /** Creates the failure for an error of the connection. */
+    /** Creates the failure for a connection error, with the verdict as of now. */
     createFailure(error: unknown): Failure {
         const text = describeError(error);
         if (!this.isConnected) {
--- a/src/endpoints/endpointRequest.ts
+++ b/src/endpoints/endpointRequest.ts
@@ -1,24 +1,24 @@
 import { Agent, ClientRequest, IncomingMessage, OutgoingHttpHeaders, request as openHttpRequest } from "node:http";
 import { Socket } from "node:net";
 import { NetworkAddress } from "../config/types.js";
-import { ConnectionVerdict } from "./connectionVerdict.js";
+import { ConnectionTracker } from "./connectionVerdict.js";
 
-/** What is sent to an endpoint. Times are in milliseconds. */
+/** Contents, target and limits of a request to an endpoint. Times are in milliseconds. */
 export interface EndpointRequestOptions {
     readonly address: NetworkAddress;
     readonly method: string;
     readonly path: string;
-    /** By name, or as a flat list of names and values that is sent as it stands. */
+    /** Headers by name, or a flat list of alternating names and values that is sent unchanged. */
     readonly headers: OutgoingHttpHeaders | readonly string[];
     readonly body: Buffer | string | undefined;
     readonly agent: Agent;
     readonly connectTimeout: number;
-    /** Longest silence on the connection once it is established. */
+    /** Longest time without socket activity; the request fails with a SilenceError when it is exceeded. */
     readonly silenceLimit: number;
     readonly signal: AbortSignal;
 }
 
-/** The endpoint sent nothing for longer than allowed. */
+/** Reports that the endpoint sent nothing for longer than the silence limit. */
 export class SilenceError extends Error {
     private constructor(limit: number) {
         super(`nothing was received for ${limit} ms`);
@@ -30,13 +30,13 @@
 }
 
 /**
- * One request to an endpoint, whose socket events tell what a failure proves.
- * The streams of the data path use the runtime's own client: docs/DESIGN.md gives the cost of the general one for each token.
+ * Sends one HTTP request to an endpoint and tracks its connection, so that a failure carries the right verdict.
+ * Data path streams use the runtime's own HTTP client, because a general client costs more for each token (see docs/DESIGN.md).
  */
 export class EndpointRequest {
-    readonly connection = ConnectionVerdict.create();
+    readonly connection = ConnectionTracker.create();
     private readonly request: ClientRequest;
-    private answer: IncomingMessage | undefined;
+    private response: IncomingMessage | undefined;
     private connectTimer: NodeJS.Timeout | undefined;
 
     private constructor(private readonly options: EndpointRequestOptions) {
@@ -59,30 +59,30 @@
         return new EndpointRequest(options);
     }
 
-    /** Sends the request and waits for the head of the answer; rejects with the error of the connection. */
+    /** Sends the request and waits for the response's status and headers; rejects with the connection error. */
     send(): Promise<IncomingMessage> {
         return new Promise((resolve, reject) => {
-            this.request.once("response", answer => {
-                this.answer = answer;
-                resolve(answer);
+            this.request.once("response", response => {
+                this.response = response;
+                resolve(response);
             });
             this.request.once("error", reject);
-            // Later errors reach the reader of the answer.
+            // Later errors are reported by the response stream; without a listener they would be uncaught.
             this.request.on("error", () => {});
             this.request.setTimeout(this.options.silenceLimit);
             this.request.end(this.options.body);
         });
     }
 
-    /** Whether the request went out on a connection that had carried others before. */
+    /** Returns whether the request was sent on a connection that had carried earlier requests. */
     isConnectionReused(): boolean {
         return this.request.reusedSocket;
     }
 
-    /** Ends the request; an answer that is still coming is dropped with its connection. */
+    /** Ends the request; closes its connection if the response is still incomplete. */
     close(): void {
         clearTimeout(this.connectTimer);
-        if (!this.request.destroyed && this.answer?.complete !== true) {
+        if (!this.request.destroyed && this.response?.complete !== true) {
             this.request.destroy();
         }
     }
@@ -91,23 +91,23 @@
         if (!socket.connecting) {
             return;
         }
-        const fail = () => this.request.destroy(new Error(`no connection within ${this.options.connectTimeout} ms`));
+        const fail = () => this.request.destroy(new Error(`no connection was established within ${this.options.connectTimeout} ms`));
         this.connectTimer = setTimeout(fail, this.options.connectTimeout);
         socket.once("connect", () => clearTimeout(this.connectTimer));
         socket.once("close", () => clearTimeout(this.connectTimer));
     }
 }
 
-/** Reads an answer to its end, chunk by chunk; rejects when it breaks off. Stops early when the reader says so. */
-export function readAnswerChunks(answer: IncomingMessage, handleChunk: (chunk: Buffer) => boolean): Promise<void> {
+/** Reads a response chunk by chunk until it ends or `handleChunk` returns false; rejects when the response is truncated. */
+export function readResponseChunks(response: IncomingMessage, handleChunk: (chunk: Buffer) => boolean): Promise<void> {
     return new Promise((resolve, reject) => {
-        answer.on("data", (chunk: Buffer) => {
+        response.on("data", (chunk: Buffer) => {
             if (!handleChunk(chunk)) {
                 resolve();
             }
         });
-        answer.once("end", resolve);
-        answer.once("error", reject);
-        answer.once("close", () => reject(new Error("the connection was closed")));
+        response.once("end", resolve);
+        response.once("error", reject);
+        response.once("close", () => reject(new Error("the connection was closed before the response ended")));
     });
 }
--- a/src/endpoints/httpModelEndpoint.ts
+++ b/src/endpoints/httpModelEndpoint.ts
@@ -8,24 +8,24 @@
 import { Verdict } from "../common/verdict.js";
 import { formatAddress } from "../config/sectionReader.js";
 import { NetworkAddress } from "../config/types.js";
-import { ConnectionVerdict } from "./connectionVerdict.js";
-import { EndpointRequest, readAnswerChunks, SilenceError } from "./endpointRequest.js";
+import { ConnectionTracker } from "./connectionVerdict.js";
+import { EndpointRequest, readResponseChunks, SilenceError } from "./endpointRequest.js";
 import { CacheEvents, EngineModels, EngineOrder, ModelEndpointClient, TokenSink } from "./modelEndpoint.js";
 import { FinishReason, GenerationAttempt, GenerationEnd, LoadReport, loadReportSchema } from "./types.js";
 
 const endOfStream = "[DONE]";
-/** Load is asked for every second: what the client would add to each request by itself is left out. */
-const smallHeaders = { decompress: false, headers: { "user-agent": undefined } };
+/** Omits the headers that the client adds by default: load is polled every second. */
+const minimalHeaderOptions = { decompress: false, headers: { "user-agent": undefined } };
 const statusOk = 200;
 const idleSocketMilliseconds = 3_000;
 const maximumEventBytes = 65_536;
 const cancelTimeoutMilliseconds = 1_000;
-/** The header by which an endpoint says that it refused a request before running it. */
+/** Response header of an endpoint that refused a request before running it. */
 export const notRunHeader = "x-request-not-run";
-/** The header by which an endpoint says that it is leaving. */
+/** Response header of an endpoint that is leaving and accepts no new requests. */
 export const leavingHeader = "x-endpoint-leaving";
 
-/** One event of the stream, in the OpenAI completion shape with the engine's extensions. */
+/** One event of a completion stream, in the OpenAI format with the engine's extensions. */
 interface CompletionChunk {
     readonly id?: unknown;
     readonly choices?: readonly { readonly text?: unknown; readonly finish_reason?: unknown; }[];
@@ -42,14 +42,14 @@
 const cacheEventsSchema = z.object({ sequence: z.number().int(), stored: z.array(z.string()), evicted: z.array(z.string()) });
 const modelsSchema = z.object({ fencing: z.number().int(), loaded: z.array(z.string()), loading: z.array(z.string()) });
 
-/** Speaks the engine shape of docs/INTERFACES.md: OpenAI completions over SSE, with a few extensions. */
+/** Client for model engines that offer OpenAI completions over server-sent events, with the extensions listed in docs/INTERFACES.md. */
 export class HttpModelEndpointClient implements ModelEndpointClient {
     private constructor(private readonly client: Got, private readonly agent: Agent) {}
 
     static create(): HttpModelEndpointClient {
         const agent = new Agent({ keepAlive: true, timeout: idleSocketMilliseconds, maxFreeSockets: 8 });
         return new HttpModelEndpointClient(
-            got.extend({ ...smallHeaders, retry: { limit: 0 }, throwHttpErrors: false, agent: { http: agent } }),
+            got.extend({ ...minimalHeaderOptions, retry: { limit: 0 }, throwHttpErrors: false, agent: { http: agent } }),
             agent,
         );
     }
@@ -78,13 +78,13 @@
             signal,
         });
         try {
-            const answer = await request.send();
-            if (answer.statusCode !== statusOk) {
-                answer.resume();
-                return Err(createStatusFailure(answer));
+            const response = await request.send();
+            if (response.statusCode !== statusOk) {
+                response.resume();
+                return Err(createStatusFailure(response));
             }
             const reader = CompletionReader.create(attempt, sink);
-            await readAnswerChunks(answer, chunk => {
+            await readResponseChunks(response, chunk => {
                 reader.readChunk(chunk);
                 return !reader.isFinished();
             });
@@ -108,13 +108,13 @@
             });
         }
         catch {
-            // The engine also stops when it sees the closed connection.
+            // The engine also stops when it detects that the connection was closed.
         }
     }
 
     async exportCache(address: NetworkAddress, attemptId: string, timeLimit: number): Promise<Result<string, Failure>> {
-        const answer = await this.send(address, "POST", `v1/attempts/${attemptId}/export`, exportSchema, timeLimit);
-        return answer.map(exported => exported.handle);
+        const response = await this.send(address, "POST", `v1/attempts/${attemptId}/export`, exportSchema, timeLimit);
+        return response.map(exported => exported.handle);
     }
 
     async fetchLoad(address: NetworkAddress, timeLimit: number): Promise<Result<LoadReport, Failure>> {
@@ -126,8 +126,8 @@
     }
 
     async sendOrder(address: NetworkAddress, order: EngineOrder, timeLimit: number): Promise<Result<void, Failure>> {
-        const answer = await this.send(address, "PUT", "orders/models", z.unknown(), timeLimit, order);
-        return answer.map(() => undefined);
+        const response = await this.send(address, "PUT", "orders/models", z.unknown(), timeLimit, order);
+        return response.map(() => undefined);
     }
 
     async fetchModels(address: NetworkAddress, timeLimit: number): Promise<Result<EngineModels, Failure>> {
@@ -142,7 +142,7 @@
         timeLimit: number,
         body?: unknown,
     ): Promise<Result<T, Failure>> {
-        const connection = ConnectionVerdict.create();
+        const connection = ConnectionTracker.create();
         try {
             const call = this.client(`http://${formatAddress(address)}/${path}`, {
                 method,
@@ -150,11 +150,11 @@
                 ...(body === undefined ? {} : { json: body }),
             });
             call.on("request", request => connection.observeRequest(request as unknown as ClientRequest));
-            const answer = await call;
-            if (answer.statusCode !== statusOk) {
-                return Err(createStatusFailure(answer));
+            const response = await call;
+            if (response.statusCode !== statusOk) {
+                return Err(createStatusFailure(response));
             }
-            return Ok(schema.parse(JSON.parse(answer.body)));
+            return Ok(schema.parse(JSON.parse(response.body)));
         }
         catch (error) {
             return Err(connection.createFailure(error));
@@ -176,7 +176,7 @@
     };
 }
 
-/** Creates the failure for a status other than 200; the endpoint's headers may prove that nothing ran. */
+/** Creates the failure for an unsuccessful response; its headers may prove that the request has not run. */
 export function createStatusFailure(response: Pick<IncomingMessage, "statusCode" | "headers">): Failure {
     if (response.headers[leavingHeader] !== undefined) {
         return Failure.create(Verdict.NotRun, Diagnostics.Endpoint_is_leaving);
@@ -187,14 +187,14 @@
     return Failure.create(Verdict.MayHaveRun, Diagnostics.Endpoint_failed_with_status_0, response.statusCode ?? 0);
 }
 
-/** Reads the events of one attempt and checks that they belong to it. */
+/** Decodes the completion events of one attempt, checks that they carry its attempt id, and passes the tokens to the sink. */
 class CompletionReader {
     private readonly decoder = new TextDecoder();
     private readonly parser;
     private failure: Failure | undefined;
     private finishReason: FinishReason | undefined;
     private usage: unknown;
-    private hasEnded = false;
+    private hasReceivedEndMarker = false;
 
     private constructor(private readonly attempt: GenerationAttempt, private readonly sink: TokenSink) {
         this.parser = createParser({ onEvent: event => this.readEvent(event.data), maxBufferSize: maximumEventBytes });
@@ -208,26 +208,32 @@
         this.parser.feed(this.decoder.decode(chunk, { stream: true }));
     }
 
+    /** Returns whether the end marker was received or an event was invalid; later events are ignored. */
     isFinished(): boolean {
-        return this.hasEnded || this.failure !== undefined;
+        return this.hasReceivedEndMarker || this.failure !== undefined;
     }
 
+    /** Returns the result of the generation, or the failure when an event was invalid or the stream was truncated. */
     finish(): Result<GenerationEnd, Failure> {
         if (this.failure !== undefined) {
             return Err(this.failure);
         }
-        if (!this.hasEnded || this.finishReason === undefined) {
+        if (!this.hasReceivedEndMarker || this.finishReason === undefined) {
             return Err(
-                Failure.create(Verdict.MayHaveRun, Diagnostics.Connection_was_lost_after_the_request_was_sent_0, "the stream ended early"),
+                Failure.create(
+                    Verdict.MayHaveRun,
+                    Diagnostics.Connection_was_lost_after_the_request_was_sent_0,
+                    "the event stream ended before its end marker or without a finish reason",
+                ),
             );
         }
         const usage = usageSchema.safeParse(this.usage ?? {});
-        const counts = usage.success ? usage.data : usageSchema.parse({});
+        const tokenCounts = usage.success ? usage.data : usageSchema.parse({});
         return Ok({
             finishReason: this.finishReason,
-            promptTokens: counts.prompt_tokens,
-            cachedTokens: counts.prompt_tokens_details?.cached_tokens ?? 0,
-            recomputedTokens: counts.recomputed_tokens,
+            promptTokens: tokenCounts.prompt_tokens,
+            cachedTokens: tokenCounts.prompt_tokens_details?.cached_tokens ?? 0,
+            recomputedTokens: tokenCounts.recomputed_tokens,
         });
     }
 
@@ -236,7 +242,7 @@
             return;
         }
         if (data === endOfStream) {
-            this.hasEnded = true;
+            this.hasReceivedEndMarker = true;
             return;
         }
         let chunk: CompletionChunk;
--- a/src/endpoints/plainEndpoint.ts
+++ b/src/endpoints/plainEndpoint.ts
@@ -4,25 +4,25 @@
 import { Err, Ok, Result } from "../common/results.js";
 import { Verdict } from "../common/verdict.js";
 import { NetworkAddress } from "../config/types.js";
-import { EndpointRequest, readAnswerChunks } from "./endpointRequest.js";
+import { EndpointRequest, readResponseChunks } from "./endpointRequest.js";
 import { createStatusFailure, leavingHeader, notRunHeader } from "./httpModelEndpoint.js";
 import { PlainAnswer, PlainCall } from "./types.js";
 
-/** The interface to plain services. */
+/** Client interface to plain services. */
 export interface PlainEndpointClient {
-    /** Makes one call and reads the whole answer. Fails with a verdict. */
+    /** Sends one call and reads the whole response. A failure carries a verdict. */
     sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainAnswer, Failure>>;
 }
 
 const idleSocketMilliseconds = 3_000;
 
-/** Calls plain services over HTTP. */
+/** Calls plain services over HTTP, with pooled connections for calls that may be retried and a new connection for all others. */
 export class HttpPlainEndpointClient implements PlainEndpointClient {
-    private constructor(private readonly pooled: Agent, private readonly fresh: Agent) {}
+    private constructor(private readonly pooledAgent: Agent, private readonly singleUseAgent: Agent) {}
 
     static create(): HttpPlainEndpointClient {
-        const pooled = new Agent({ keepAlive: true, timeout: idleSocketMilliseconds, maxFreeSockets: 32 });
-        return new HttpPlainEndpointClient(pooled, new Agent({ keepAlive: false }));
+        const pooledAgent = new Agent({ keepAlive: true, timeout: idleSocketMilliseconds, maxFreeSockets: 32 });
+        return new HttpPlainEndpointClient(pooledAgent, new Agent({ keepAlive: false }));
     }
 
     async sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainAnswer, Failure>> {
@@ -32,15 +32,15 @@
             path: `/${call.path}`,
             headers: createCallHeaders(call),
             body: call.body.length > 0 ? call.body : undefined,
-            agent: call.mayReuseConnection ? this.pooled : this.fresh,
+            agent: call.mayReuseConnection ? this.pooledAgent : this.singleUseAgent,
             connectTimeout: call.connectTimeout,
             silenceLimit: call.timeLimit,
             signal,
         });
-        // The time limit holds for the whole call, not only for its silences.
+        // The time limit applies to the whole call; the request's silence limit alone would not bound a slow response.
         const timer = setTimeout(() => request.close(), call.timeLimit);
         try {
-            return await readAnswer(await request.send(), call);
+            return await readResponse(await request.send(), call);
         }
         catch (error) {
             return Err(request.connection.createFailure(error));
@@ -70,10 +70,10 @@
     return { ...headers, ...call.traceHeaders };
 }
 
-async function readAnswer(answer: IncomingMessage, call: PlainCall): Promise<Result<PlainAnswer, Failure>> {
+async function readResponse(response: IncomingMessage, call: PlainCall): Promise<Result<PlainAnswer, Failure>> {
     const chunks: Buffer[] = [];
     let size = 0;
-    await readAnswerChunks(answer, chunk => {
+    await readResponseChunks(response, chunk => {
         size += chunk.length;
         chunks.push(chunk);
         return size <= call.answerBytes;
@@ -81,12 +81,12 @@
     if (size > call.answerBytes) {
         return Err(Failure.create(Verdict.Ran, Diagnostics.Answer_is_larger_than_0_bytes, call.answerBytes));
     }
-    if (answer.headers[notRunHeader] !== undefined || answer.headers[leavingHeader] !== undefined) {
-        return Err(createStatusFailure(answer));
+    if (response.headers[notRunHeader] !== undefined || response.headers[leavingHeader] !== undefined) {
+        return Err(createStatusFailure(response));
     }
-    const named = answer.headers["x-attempt-id"];
-    if (named !== undefined && named !== call.attemptId) {
-        return Err(Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_names_another_request_0, String(named)));
+    const responseAttemptId = response.headers["x-attempt-id"];
+    if (responseAttemptId !== undefined && responseAttemptId !== call.attemptId) {
+        return Err(Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_names_another_request_0, String(responseAttemptId)));
     }
-    return Ok({ status: answer.statusCode ?? 0, contentType: answer.headers["content-type"], body: Buffer.concat(chunks) });
+    return Ok({ status: response.statusCode ?? 0, contentType: response.headers["content-type"], body: Buffer.concat(chunks) });
 }
--- a/src/endpoints/types.ts
+++ b/src/endpoints/types.ts
@@ -2,17 +2,17 @@
 import { NetworkAddress } from "../config/types.js";
 import { HostState, PurchaseKind } from "../provider/types.js";
 
-/** What a node believes of an endpoint. */
+/** State of an endpoint as a node records it. */
 export enum EndpointState {
     Live = "live",
-    /** It failed lately; it gets no work until a probe succeeds or time passes. */
+    /** The endpoint failed recently; it receives no work until a probe succeeds or the suspicion expires. */
     Suspect = "suspect",
-    /** It will be taken away; it gets no new work. */
+    /** The endpoint will be removed; it receives no new work. */
     Leaving = "leaving",
     Gone = "gone",
 }
 
-/** What made a node believe it. */
+/** Evidence on which a node bases the recorded state of an endpoint. */
 export enum EndpointEvidence {
     HostList = "host-list",
     Notice = "notice",
@@ -36,7 +36,7 @@
     readonly leavesAt: number | undefined;
 }
 
-/** The load that an endpoint reports. */
+/** Schema of the load report of an endpoint. */
 export const loadReportSchema = z.object({
     running: z.number().int().min(0),
     waiting: z.number().int().min(0),
@@ -53,7 +53,7 @@
     Length = "length",
 }
 
-/** One attempt at a generation. */
+/** One attempt to run a generation on an engine. */
 export interface GenerationAttempt {
     readonly requestId: string;
     readonly attemptId: string;
@@ -61,32 +61,32 @@
     readonly prompt: string;
     readonly maxTokens: number;
     readonly sampling: Readonly<Record<string, unknown>>;
-    /** Smaller is more urgent. */
+    /** Smaller values are more urgent. */
     readonly priority: number;
-    /** Tokens that earlier attempts emitted; the engine goes on after them. */
+    /** Tokens that earlier attempts emitted; the engine resumes after them. */
     readonly emittedTokens: readonly string[];
     /** Handle of an exported KV cache that holds the prompt and the emitted tokens. */
     readonly cacheHandle: string | undefined;
-    /** Longest silence between two events, in milliseconds. */
+    /** Longest time between two events, in milliseconds. */
     readonly silenceLimit: number;
     readonly connectTimeout: number;
     readonly traceHeaders: { readonly traceparent?: string; readonly tracestate?: string; };
 }
 
-/** How a generation ended, with the engine's own counts. */
+/** Finish reason of a generation and the token counts that the engine reported. */
 export interface GenerationEnd {
     readonly finishReason: FinishReason;
     readonly promptTokens: number;
     readonly cachedTokens: number;
-    /** Tokens of earlier attempts that the engine computed again. */
+    /** Tokens of earlier attempts that the engine had to recompute. */
     readonly recomputedTokens: number;
 }
 
-/** A call to a plain service. */
+/** A call to a plain service. Times are in milliseconds. */
 export interface PlainCall {
     readonly requestId: string;
     readonly attemptId: string;
-    /** Version of the service that is asked for. */
+    /** Requested version of the service. */
     readonly version: string;
     readonly method: string;
     readonly path: string;
@@ -95,13 +95,14 @@
     readonly body: Buffer;
     readonly timeLimit: number;
     readonly connectTimeout: number;
+    /** Largest response body that is accepted, in bytes. */
     readonly answerBytes: number;
-    /** Whether a pooled connection may be used; calls that may not be repeated use a fresh one. */
+    /** Whether a pooled connection may be used; calls that must not be retried use a new connection. */
     readonly mayReuseConnection: boolean;
     readonly traceHeaders: { readonly traceparent?: string; readonly tracestate?: string; };
 }
 
-/** The whole answer of a plain service. */
+/** The complete response of a plain service. */
 export interface PlainAnswer {
     readonly status: number;
     readonly contentType: string | undefined;
