--- a/src/gateway/answerRelay.ts
+++ b/src/gateway/answerRelay.ts
@@ -1,146 +1,150 @@
 import { IncomingMessage } from "node:http";
-import { CallerAnswer } from "./callerAnswer.js";
+import { CallerResponse } from "./callerAnswer.js";
 import { EndpointExchange } from "./endpointExchange.js";
 import { EventSplitter } from "./eventSplitter.js";
-import { createAnswerHeaders } from "./forwardedHeaders.js";
+import { createResponseHeaders } from "./forwardedHeaders.js";
 
-/** Largest answer that is held until it is whole, in bytes; a larger one is passed on as it comes. Well above ordinary answers. */
-const heldAnswerBytes = 262_144;
+/** Size up to which a response is buffered until it is complete; well above ordinary responses. Larger ones are streamed. */
+const bufferedResponseBytes = 262_144;
 
-/** How the relay of an answer ended. */
-export enum RelayEnd {
-    /** The whole answer went to the caller. */
-    Whole = "whole",
-    /** The endpoint's answer ended early. */
-    Broken = "broken",
-    CallerLeft = "caller-left",
+/** Outcome of relaying one response. */
+export enum RelayOutcome {
+    /** The complete response was written to the caller. */
+    Complete = "whole",
+    /** The endpoint's response ended early. */
+    Truncated = "broken",
+    CallerDisconnected = "caller-left",
 }
 
-/** Passes an answer of any kind on to the caller. */
-export interface AnswerRelay {
-    forwardAnswer(answer: IncomingMessage, exchange: EndpointExchange): Promise<RelayEnd>;
+/** Relays the response of an endpoint to the caller. */
+export interface ResponseRelay {
+    /** Relays a response until it ends or the caller disconnects; does not reject. */
+    forwardResponse(response: IncomingMessage, exchange: EndpointExchange): Promise<RelayOutcome>;
 }
 
-/** Passes on an answer that counts only as a whole: it is held until it is complete, or for as long as it is small. */
-export class WholeAnswerRelay implements AnswerRelay {
-    private constructor(private readonly caller: CallerAnswer) {}
+/** Relays a response that is useful only when complete: buffers a small one until it has ended, so that a truncated one can still be retried. */
+export class BufferingResponseRelay implements ResponseRelay {
+    private constructor(private readonly caller: CallerResponse) {}
 
-    static create(caller: CallerAnswer): WholeAnswerRelay {
-        return new WholeAnswerRelay(caller);
+    static create(caller: CallerResponse): BufferingResponseRelay {
+        return new BufferingResponseRelay(caller);
     }
 
-    async forwardAnswer(answer: IncomingMessage, exchange: EndpointExchange): Promise<RelayEnd> {
+    async forwardResponse(response: IncomingMessage, exchange: EndpointExchange): Promise<RelayOutcome> {
         const { caller } = this;
-        const held: Buffer[] = [];
+        const buffered: Buffer[] = [];
         let size = 0;
         try {
-            for await (const chunk of answer as AsyncIterable<Buffer>) {
+            for await (const chunk of response as AsyncIterable<Buffer>) {
                 size += chunk.length;
-                if (!caller.hasBegun() && size <= heldAnswerBytes) {
-                    held.push(chunk);
+                if (!caller.hasStarted() && size <= bufferedResponseBytes) {
+                    buffered.push(chunk);
                     continue;
                 }
-                await this.passOn(answer, held.splice(0), chunk);
+                await this.writeChunks(response, buffered.splice(0), chunk);
             }
         }
         catch {
-            // The reader of the exchange gets the verdict; what broke the connection off is in its failure.
-            return caller.isCallerGone() ? RelayEnd.CallerLeft : RelayEnd.Broken;
+            // The attempt creates the failure with its verdict; the error that truncated the response is not needed for it.
+            return caller.isCallerDisconnected() ? RelayOutcome.CallerDisconnected : RelayOutcome.Truncated;
         }
-        if (caller.isCallerGone()) {
-            return RelayEnd.CallerLeft;
+        if (caller.isCallerDisconnected()) {
+            return RelayOutcome.CallerDisconnected;
         }
-        if (!exchange.isWhole(answer)) {
-            return RelayEnd.Broken;
+        if (!exchange.isComplete(response)) {
+            return RelayOutcome.Truncated;
         }
-        if (caller.hasBegun()) {
-            caller.finishAnswer();
-            return RelayEnd.Whole;
+        if (caller.hasStarted()) {
+            caller.finishResponse();
+            return RelayOutcome.Complete;
         }
-        const hasNoBody = answer.statusCode === 204 || answer.statusCode === 304;
-        caller.startAnswer(answer.statusCode ?? 0, createAnswerHeaders(answer, hasNoBody ? undefined : size));
-        caller.finishAnswer(Buffer.concat(held));
-        return RelayEnd.Whole;
+        const hasNoBody = response.statusCode === 204 || response.statusCode === 304;
+        caller.startResponse(response.statusCode ?? 0, createResponseHeaders(response, hasNoBody ? undefined : size));
+        caller.finishResponse(Buffer.concat(buffered));
+        return RelayOutcome.Complete;
     }
 
-    private async passOn(answer: IncomingMessage, held: Buffer[], chunk: Buffer): Promise<void> {
+    private async writeChunks(response: IncomingMessage, buffered: Buffer[], chunk: Buffer): Promise<void> {
         const { caller } = this;
-        if (!caller.hasBegun()) {
-            const stated = answer.headers["content-length"];
-            caller.startAnswer(answer.statusCode ?? 0, createAnswerHeaders(answer, stated === undefined ? undefined : Number(stated)));
+        if (!caller.hasStarted()) {
+            const contentLength = response.headers["content-length"];
+            caller.startResponse(
+                response.statusCode ?? 0,
+                createResponseHeaders(response, contentLength === undefined ? undefined : Number(contentLength)),
+            );
         }
-        if (!caller.writeBytes(Buffer.concat([...held, chunk]))) {
+        if (!caller.writeBytes(Buffer.concat([...buffered, chunk]))) {
             await caller.waitForDrain();
         }
     }
 }
 
-/** Passes on a stream of events, each as soon as it is whole. One relay serves all attempts of a call. */
-export class EventStreamRelay implements AnswerRelay {
+/** Relays a stream of server-sent events, each as soon as it is complete. One relay serves all attempts of a call. */
+export class EventStreamRelay implements ResponseRelay {
     private readonly splitter: EventSplitter;
 
     private constructor(
-        private readonly caller: CallerAnswer,
+        private readonly caller: CallerResponse,
         lastEventId: string | undefined,
         private readonly handleFirstEvent: () => void,
     ) {
         this.splitter = EventSplitter.create(lastEventId);
     }
 
-    static create(caller: CallerAnswer, lastEventId: string | undefined, handleFirstEvent: () => void): EventStreamRelay {
+    static create(caller: CallerResponse, lastEventId: string | undefined, handleFirstEvent: () => void): EventStreamRelay {
         return new EventStreamRelay(caller, lastEventId, handleFirstEvent);
     }
 
-    /** Returns the id of the last event that the caller has, by its own word or from this relay. */
+    /** Returns the id of the last event that the caller has: from this relay, or else from the caller's Last-Event-ID header. */
     getLastEventId(): string | undefined {
-        return this.splitter.getLastId();
+        return this.splitter.getLastEventId();
     }
 
-    forwardAnswer(answer: IncomingMessage, exchange: EndpointExchange): Promise<RelayEnd> {
+    forwardResponse(response: IncomingMessage, exchange: EndpointExchange): Promise<RelayOutcome> {
         const { caller, splitter } = this;
-        splitter.removeRest();
+        splitter.removeIncompleteEvent();
         return new Promise(resolve => {
-            let isSettled = false;
+            let isResolved = false;
             let hasEvent = false;
-            const settle = (end: RelayEnd) => {
-                if (!isSettled) {
-                    isSettled = true;
+            const finish = (end: RelayOutcome) => {
+                if (!isResolved) {
+                    isResolved = true;
                     resolve(end);
                 }
             };
-            const breakOff = () => settle(caller.isCallerGone() ? RelayEnd.CallerLeft : RelayEnd.Broken);
-            answer.on("data", (chunk: Buffer) => {
+            const finishEarly = () => finish(caller.isCallerDisconnected() ? RelayOutcome.CallerDisconnected : RelayOutcome.Truncated);
+            response.on("data", (chunk: Buffer) => {
                 const events = splitter.addBytes(chunk);
-                if (events.length === 0 || isSettled) {
+                if (events.length === 0 || isResolved) {
                     return;
                 }
                 if (!hasEvent) {
                     hasEvent = true;
                     this.handleFirstEvent();
                 }
-                this.startAnswer(answer);
+                this.startResponse(response);
                 if (!caller.writeBytes(events)) {
-                    answer.pause();
-                    void caller.waitForDrain().then(() => answer.resume());
+                    response.pause();
+                    void caller.waitForDrain().then(() => response.resume());
                 }
             });
-            answer.once("end", () => {
-                if (caller.isCallerGone() || !exchange.isWhole(answer)) {
-                    breakOff();
+            response.once("end", () => {
+                if (caller.isCallerDisconnected() || !exchange.isComplete(response)) {
+                    finishEarly();
                     return;
                 }
-                this.startAnswer(answer);
-                caller.finishAnswer(splitter.getRest());
-                settle(RelayEnd.Whole);
+                this.startResponse(response);
+                caller.finishResponse(splitter.getIncompleteEvent());
+                finish(RelayOutcome.Complete);
             });
-            answer.once("error", breakOff);
-            answer.once("close", breakOff);
+            response.once("error", finishEarly);
+            response.once("close", finishEarly);
         });
     }
 
-    private startAnswer(answer: IncomingMessage): void {
-        if (!this.caller.hasBegun()) {
-            this.caller.startAnswer(answer.statusCode ?? 0, createAnswerHeaders(answer, undefined));
+    private startResponse(response: IncomingMessage): void {
+        if (!this.caller.hasStarted()) {
+            this.caller.startResponse(response.statusCode ?? 0, createResponseHeaders(response, undefined));
         }
     }
 }
--- a/src/gateway/callAttempt.ts
+++ b/src/gateway/callAttempt.ts
@@ -4,85 +4,85 @@
 import { Verdict } from "../common/verdict.js";
 import { formatAddress } from "../config/sectionReader.js";
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
-import { RelayEnd, WholeAnswerRelay } from "./answerRelay.js";
+import { BufferingResponseRelay, RelayOutcome } from "./answerRelay.js";
 import { EndpointExchange } from "./endpointExchange.js";
-import { AttemptEnd, AttemptOptions, CallAttemptParts, IncomingCall } from "./types.js";
+import { AttemptOptions, AttemptResult, CallAttemptParts, IncomingCall } from "./types.js";
 
 const statusServerError = 500;
 const statusGatewayTimeout = 504;
-/** Interval at which an attempt looks whether its endpoint has gone silent, in milliseconds. */
+/** Interval at which an attempt checks the silence limit of its endpoint. */
 const silenceCheckMilliseconds = 250;
-/** Least expected time against which an answer's time is judged, in milliseconds: shorter ones are mostly the network's. */
-const leastExpectedMilliseconds = 30;
+/** Lower bound of the expected time that a response time is compared with; shorter times are mostly network latency. */
+const minimumExpectedMilliseconds = 30;
 
-/** Urgency of the first and of the last rank. */
+/** Urgency values sent to engines for the first and the last rank; smaller is more urgent. */
 const mostUrgent = 2;
 const leastUrgent = 9;
 
-/** Sends a call to one endpoint and relays the answer. */
+/** Sends a call to one endpoint, relays the response, and records the outcome for the endpoint, its version and the request. */
 export class CallAttempt {
-    private readonly stopping = new AbortController();
+    private readonly abortController = new AbortController();
     private readonly endpoint: FleetEndpoint;
     private readonly sentAt: number;
     private firstEventAt: number | undefined;
-    private heardAt: number;
-    private isSilent = false;
-    private isLate = false;
-    private waitingTokens: number;
+    private lastReceivedAt: number;
+    private hasExceededSilenceLimit = false;
+    private isPastDeadline = false;
+    private unprocessedPromptTokens: number;
 
-    private constructor(private readonly parts: CallAttemptParts, private readonly options: AttemptOptions) {
+    private constructor(private readonly dependencies: CallAttemptParts, private readonly options: AttemptOptions) {
         this.endpoint = options.placement.endpoint;
-        this.waitingTokens = options.placement.tokensToRead;
-        this.sentAt = parts.clock.getMonotonicTime();
-        this.heardAt = this.sentAt;
+        this.unprocessedPromptTokens = options.placement.tokensToRead;
+        this.sentAt = dependencies.clock.getMonotonicTime();
+        this.lastReceivedAt = this.sentAt;
     }
 
-    static create(parts: CallAttemptParts, options: AttemptOptions): CallAttempt {
-        return new CallAttempt(parts, options);
+    static create(dependencies: CallAttemptParts, options: AttemptOptions): CallAttempt {
+        return new CallAttempt(dependencies, options);
     }
 
-    /** Runs the attempt to its end. */
-    async run(): Promise<AttemptEnd> {
+    /** Runs the attempt until the response is relayed or the attempt has failed. */
+    async run(): Promise<AttemptResult> {
         const { options } = this;
-        const stop = () => this.stopping.abort();
-        const leaving = options.caller.getLeavingSignal();
-        leaving.addEventListener("abort", stop);
+        const abort = () => this.abortController.abort();
+        const disconnectSignal = options.caller.getDisconnectSignal();
+        disconnectSignal.addEventListener("abort", abort);
         const deadlineTimer = setTimeout(() => {
-            this.isLate = true;
-            stop();
+            this.isPastDeadline = true;
+            abort();
         }, Math.max(1, options.deadline - this.sentAt));
-        const silenceTimer = options.mayRunAgain ? setInterval(() => this.checkSilence(), silenceCheckMilliseconds) : undefined;
+        const silenceTimer = options.mayRetry ? setInterval(() => this.checkSilence(), silenceCheckMilliseconds) : undefined;
         this.addLoad();
         try {
-            return await this.exchange();
+            return await this.sendRequest();
         }
         finally {
             this.removeLoad();
             clearTimeout(deadlineTimer);
             clearInterval(silenceTimer);
-            leaving.removeEventListener("abort", stop);
+            disconnectSignal.removeEventListener("abort", abort);
         }
     }
 
-    /** Records that the endpoint has read the prompt. */
+    /** Records the first event of the stream, which shows that the engine has processed the prompt. Later calls have no effect. */
     recordFirstEvent(): void {
         if (this.firstEventAt !== undefined) {
             return;
         }
-        this.firstEventAt = this.parts.clock.getMonotonicTime();
+        this.firstEventAt = this.dependencies.clock.getMonotonicTime();
         this.removePromptLoad();
         this.recordServed(this.firstEventAt);
     }
 
-    private async exchange(): Promise<AttemptEnd> {
-        const { parts, options } = this;
+    private async sendRequest(): Promise<AttemptResult> {
+        const { dependencies, options } = this;
         const { call } = options;
         const timeLeft = options.deadline - this.sentAt;
         const hop = call.span.startHop(this.endpoint.entry.id);
         const exchange = EndpointExchange.create({
             call,
             endpoint: this.endpoint,
-            headers: parts.headers.createHeaders(call, {
+            headers: dependencies.headers.createHeaders(call, {
                 endpointId: this.endpoint.entry.id,
                 timeLeft,
                 lastEventId: options.lastEventId,
@@ -90,16 +90,16 @@
                 cacheSource: this.getCacheSource(),
                 traceHeaders: hop.createHeaders(),
             }),
-            agent: parts.connections.getAgent(this.endpoint),
-            connectTimeout: Math.min(parts.timing.connectTimeout, timeLeft),
+            agent: dependencies.connections.getAgent(this.endpoint),
+            connectTimeout: Math.min(dependencies.timing.connectTimeout, timeLeft),
             silenceLimit: timeLeft,
-            signal: this.stopping.signal,
-        }, parts.protocol);
+            signal: this.abortController.signal,
+        }, dependencies.protocol);
         try {
             const sent = await exchange.sendRequest();
-            const end = sent.err ? this.settleFailure(sent.val, exchange) : await this.relay(sent.val, exchange);
-            hop.end(end.failure?.text);
-            return end;
+            const result = sent.err ? this.handleFailure(sent.val, exchange) : await this.relayResponse(sent.val, exchange);
+            hop.end(result.failure?.text);
+            return result;
         }
         finally {
             exchange.close();
@@ -111,111 +111,111 @@
         return cacheSource === undefined ? undefined : formatAddress(cacheSource.entry.address);
     }
 
-    private async relay(answer: IncomingMessage, exchange: EndpointExchange): Promise<AttemptEnd> {
+    private async relayResponse(response: IncomingMessage, exchange: EndpointExchange): Promise<AttemptResult> {
         const { options } = this;
-        this.markHeard();
-        const load = exchange.readLoad(answer);
+        this.recordActivity();
+        const load = exchange.readLoad(response);
         if (load !== undefined) {
-            this.endpoint.recordLoad(load, this.heardAt);
+            this.endpoint.recordLoad(load, this.lastReceivedAt);
         }
-        const status = answer.statusCode ?? 0;
+        const status = response.statusCode ?? 0;
         if (status >= statusServerError && status !== statusGatewayTimeout) {
             this.endpoint.recordError();
             this.recordVersionAttempt(false, undefined);
-            if (options.mayRunAgain && !options.caller.hasBegun()) {
-                answer.on("error", () => exchange.close());
-                answer.resume();
-                return this.createEnd(Failure.create(Verdict.Ran, Diagnostics.Endpoint_failed_with_status_0, status));
+            if (options.mayRetry && !options.caller.hasStarted()) {
+                response.on("error", () => exchange.close());
+                response.resume();
+                return this.createResult(Failure.create(Verdict.Ran, Diagnostics.Endpoint_failed_with_status_0, status));
             }
         }
-        answer.on("data", () => this.markHeard());
+        response.on("data", () => this.recordActivity());
         const isStream = options.stream !== undefined && status < statusServerError;
-        const relay = isStream ? options.stream : WholeAnswerRelay.create(options.caller);
-        const end = await relay.forwardAnswer(answer, exchange);
-        if (end !== RelayEnd.Whole) {
-            return this.settleBroken();
+        const relay = isStream ? options.stream : BufferingResponseRelay.create(options.caller);
+        const outcome = await relay.forwardResponse(response, exchange);
+        if (outcome !== RelayOutcome.Complete) {
+            return this.handleTruncatedResponse();
         }
-        this.recordAnswered(status);
-        return this.createEnd(undefined);
+        this.recordCompleteResponse(status);
+        return this.createResult(undefined);
     }
 
-    private recordAnswered(status: number): void {
+    private recordCompleteResponse(status: number): void {
         if (status >= statusServerError || this.options.stream !== undefined) {
             return;
         }
-        const answeredAt = this.parts.clock.getMonotonicTime();
-        this.recordServed(answeredAt);
+        const completedAt = this.dependencies.clock.getMonotonicTime();
+        this.recordServed(completedAt);
         if (this.endpoint.countRequests() <= this.endpoint.entry.slots) {
-            this.parts.callPlacement.recordCallTime(this.options.call.service, answeredAt - this.sentAt);
+            this.dependencies.callPlacement.recordCallTime(this.options.call.service, completedAt - this.sentAt);
         }
     }
 
-    /** Counts the first event or the whole answer for the endpoint, its version and the request. */
+    /** Records the first event of a stream, or a complete response, as a success of the endpoint, its version and the request. */
     private recordServed(servedAt: number): void {
         const timeRatio = this.computeTimeRatio(servedAt);
         this.endpoint.recordSuccess(timeRatio);
         this.recordVersionAttempt(true, timeRatio);
-        this.parts.crashes.recordSuccess(this.options.call);
+        this.dependencies.crashes.recordSuccess(this.options.call);
     }
 
-    /** Returns the time since the attempt was sent as a multiple of what was expected. */
+    /** Returns the time since the attempt was sent as a multiple of the expected time. */
     private computeTimeRatio(at: number): number {
-        return (at - this.sentAt) / Math.max(leastExpectedMilliseconds, this.options.placement.expectedTime);
+        return (at - this.sentAt) / Math.max(minimumExpectedMilliseconds, this.options.placement.expectedTime);
     }
 
-    private settleBroken(): AttemptEnd {
-        if (!this.stopping.signal.aborted) {
-            this.endpoint.recordLoss(this.parts.clock.getMonotonicTime());
-            this.parts.crashes.recordLoss(this.endpoint, this.options.call.getFingerprint());
+    private handleTruncatedResponse(): AttemptResult {
+        if (!this.abortController.signal.aborted) {
+            this.endpoint.recordLoss(this.dependencies.clock.getMonotonicTime());
+            this.dependencies.crashes.recordLoss(this.endpoint, this.options.call.getFingerprint());
         }
-        return this.createEnd(Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_broke_off));
+        return this.createResult(Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_broke_off));
     }
 
-    private settleFailure(failure: Failure, exchange: EndpointExchange): AttemptEnd {
-        const { parts, options } = this;
-        const now = parts.clock.getMonotonicTime();
-        if (this.isLate && this.firstEventAt === undefined) {
+    private handleFailure(failure: Failure, exchange: EndpointExchange): AttemptResult {
+        const { dependencies, options } = this;
+        const now = dependencies.clock.getMonotonicTime();
+        if (this.isPastDeadline && this.firstEventAt === undefined) {
             this.recordVersionAttempt(true, this.computeTimeRatio(now));
         }
         const { code } = failure.message;
         if (code === Diagnostics.Another_endpoint_has_the_address.code) {
-            parts.directory.markGone(this.endpoint, "own request");
+            dependencies.directory.markGone(this.endpoint, "own request");
         }
         else if (code === Diagnostics.Endpoint_refused_before_running_0.code) {
-            this.markHeard();
+            this.recordActivity();
             this.endpoint.recordRefusal(now);
         }
         else if (code === Diagnostics.Endpoint_failed_with_status_0.code) {
             this.endpoint.recordError();
         }
-        else if (!options.caller.isCallerGone()) {
+        else if (!options.caller.isCallerDisconnected()) {
             this.endpoint.recordLoss(now);
-            this.recordSignOfDeath(code, exchange);
+            this.recordCrashEvidence(code, exchange);
         }
-        if (this.isSilent) {
-            const limit = parts.timing.endpointSilence;
-            return this.createEnd(Failure.create(failure.verdict, Diagnostics.Endpoint_sent_nothing_for_0_milliseconds, limit));
+        if (this.hasExceededSilenceLimit) {
+            const limit = dependencies.timing.endpointSilence;
+            return this.createResult(Failure.create(failure.verdict, Diagnostics.Endpoint_sent_nothing_for_0_milliseconds, limit));
         }
-        const hasArrived = failure.verdict !== Verdict.NotRun || exchange.hasConnection();
-        return this.createEnd(failure, hasArrived);
+        const mayHaveArrived = failure.verdict !== Verdict.NotRun || exchange.hasConnection();
+        return this.createResult(failure, mayHaveArrived);
     }
 
-    private recordSignOfDeath(code: number, exchange: EndpointExchange): void {
-        const { parts, options } = this;
+    private recordCrashEvidence(code: number, exchange: EndpointExchange): void {
+        const { dependencies, options } = this;
         if (!exchange.hasConnection()) {
-            parts.crashes.recordDeath(this.endpoint);
+            dependencies.crashes.recordDeath(this.endpoint);
             return;
         }
-        if (code === Diagnostics.Connection_was_lost_after_the_request_was_sent_0.code && !this.stopping.signal.aborted) {
-            parts.crashes.recordLoss(this.endpoint, options.call.getFingerprint());
+        if (code === Diagnostics.Connection_was_lost_after_the_request_was_sent_0.code && !this.abortController.signal.aborted) {
+            dependencies.crashes.recordLoss(this.endpoint, options.call.getFingerprint());
         }
     }
 
-    /** Counts for or against the endpoint's version. Lost connections do not count: endpoints are lost on any version. */
+    /** Records a success or failure of the endpoint's version. Lost connections are not recorded: endpoints are lost on any version. */
     private recordVersionAttempt(hasSucceeded: boolean, timeRatio: number | undefined): void {
         const { entry } = this.endpoint;
         const { call } = this.options;
-        this.parts.versions.recordAttempt({
+        this.dependencies.versions.recordAttempt({
             service: call.service,
             route: call.route.name,
             version: entry.version,
@@ -225,22 +225,22 @@
         });
     }
 
-    private createEnd(failure: Failure | undefined, hasArrived = true): AttemptEnd {
-        return { failure, hasArrived, isLate: this.isLate, sentAt: this.sentAt };
+    private createResult(failure: Failure | undefined, mayHaveArrived = true): AttemptResult {
+        return { failure, mayHaveArrived, isPastDeadline: this.isPastDeadline, sentAt: this.sentAt };
     }
 
-    private markHeard(): void {
-        this.heardAt = this.parts.clock.getMonotonicTime();
-        this.endpoint.heardAt = this.heardAt;
+    private recordActivity(): void {
+        this.lastReceivedAt = this.dependencies.clock.getMonotonicTime();
+        this.endpoint.heardAt = this.lastReceivedAt;
     }
 
-    /** Gives up an endpoint from which nothing comes any more, on this connection or any other. */
+    /** Aborts the attempt when nothing has been received from the endpoint, on any of its connections, for the silence limit. */
     private checkSilence(): void {
-        const now = this.parts.clock.getMonotonicTime();
-        const limit = this.parts.timing.endpointSilence;
-        if (now - this.heardAt > limit && now - this.endpoint.heardAt > limit) {
-            this.isSilent = true;
-            this.stopping.abort();
+        const now = this.dependencies.clock.getMonotonicTime();
+        const limit = this.dependencies.timing.endpointSilence;
+        if (now - this.lastReceivedAt > limit && now - this.endpoint.heardAt > limit) {
+            this.hasExceededSilenceLimit = true;
+            this.abortController.abort();
         }
     }
 
@@ -250,8 +250,8 @@
         this.endpoint.promptTokens += placement.tokensToRead;
         if (call.prompt !== undefined) {
             call.prompt.parts.forEach(part => this.endpoint.cache.recordPart(part));
-            this.parts.work.recordWork(call.service, placement.tokensToRead, call.prompt.maxOutputTokens);
-            this.parts.news.addPlacement(this.endpoint, call.prompt.parts);
+            this.dependencies.work.recordWork(call.service, placement.tokensToRead, call.prompt.maxOutputTokens);
+            this.dependencies.news.addPlacement(this.endpoint, call.prompt.parts);
         }
     }
 
@@ -261,12 +261,12 @@
     }
 
     private removePromptLoad(): void {
-        this.endpoint.promptTokens -= this.waitingTokens;
-        this.waitingTokens = 0;
+        this.endpoint.promptTokens -= this.unprocessedPromptTokens;
+        this.unprocessedPromptTokens = 0;
     }
 }
 
-/** Returns how urgent a generation is for its engine. One that is late anyway lets those before it that may still be in time. */
+/** Returns the urgency of a generation. One that is expected to miss its objective anyway yields to those that can still meet theirs. */
 function computeUrgency(call: IncomingCall, expectedTime: number): number {
     if (expectedTime > call.route.objective) {
         return leastUrgent;
--- a/src/gateway/callForwarder.ts
+++ b/src/gateway/callForwarder.ts
@@ -13,16 +13,16 @@
 import { UsageCounter } from "../usage/usageCounter.js";
 import { EventStreamRelay } from "./answerRelay.js";
 import { CallAttempt } from "./callAttempt.js";
-import { CallerAnswer } from "./callerAnswer.js";
-import { AttemptEnd, CallAttemptParts, CallOutcome, IncomingCall } from "./types.js";
+import { CallerResponse } from "./callerAnswer.js";
+import { AttemptResult, CallAttemptParts, CallOutcome, IncomingCall } from "./types.js";
 
-/** Time before the deadline at which a call is given up, in milliseconds: the answer still has to reach the caller. */
-const answerMarginMilliseconds = 25;
-/** Endpoints that are asked at most for one call, refusals included. */
+/** Time before the caller's deadline at which a call fails: the response still has to reach the caller. */
+const responseMarginMilliseconds = 25;
+/** Largest number of endpoints that one call is sent to, including those that refuse it. */
 const sendLimit = 4;
 
-/** What the forwarder works with. */
-export interface CallForwarderParts extends CallAttemptParts {
+/** Dependencies of the call forwarder. */
+export interface CallForwarderDependencies extends CallAttemptParts {
     readonly log: EventLog;
     readonly chooser: EndpointChooser;
     readonly allowance: RetryAllowance;
@@ -30,82 +30,85 @@
     readonly ledger: QuarantineLedger;
 }
 
-/** How a call ended. */
+/** Outcome of a call, for the response to the caller, metrics and the log. */
 export interface CallReport {
     readonly outcome: CallOutcome;
     readonly failure: Failure | undefined;
+    /** Number of endpoints that the request may have reached. */
     readonly sends: number;
+    /** The endpoint of the last attempt; undefined when there was none. */
     readonly endpoint: string | undefined;
+    /** Time of the first event of a stream, in monotonic milliseconds; undefined for other calls. */
     readonly firstByteAt: number | undefined;
 }
 
-/** Serves calls: chooses an endpoint, sends, and goes on elsewhere where the route allows it. */
+/** Forwards calls to endpoints and retries failed attempts at other endpoints where the route allows it. */
 export class CallForwarder {
-    private constructor(private readonly parts: CallForwarderParts) {}
+    private constructor(private readonly dependencies: CallForwarderDependencies) {}
 
-    static create(parts: CallForwarderParts): CallForwarder {
-        return new CallForwarder(parts);
+    static create(dependencies: CallForwarderDependencies): CallForwarder {
+        return new CallForwarder(dependencies);
     }
 
-    /** Serves a call to its end. The failure of the report, if there is one, is still to be told to the caller. */
-    async forwardCall(call: IncomingCall, caller: CallerAnswer): Promise<CallReport> {
-        return ForwardedCall.create(this.parts, call, caller).runAttempts();
+    /** Forwards a call until it is served or has failed. The caller of this method sends the failure of the report, if there is one. */
+    async forwardCall(call: IncomingCall, caller: CallerResponse): Promise<CallReport> {
+        return ForwardedCall.create(this.dependencies, call, caller).runAttempts();
     }
 }
 
-/** The course of one call. */
+/** Runs the attempts of one call and keeps their combined verdict. */
 class ForwardedCall {
     private readonly tried = new Set<FleetEndpoint>();
     private readonly isIdempotent: boolean;
     private readonly deadline: number;
     private readonly stream: EventStreamRelay;
     private verdict = Verdict.NotRun;
-    /** Endpoints that the request has reached. */
+    /** Number of endpoints that the request may have reached. */
     private sends = 0;
-    /** Endpoints that may have run it. */
+    /** Number of endpoints that may have run the request. */
     private runs = 0;
     private firstByteAt: number | undefined;
     private attempt: CallAttempt | undefined;
     private lastEndpoint: string | undefined;
 
     private constructor(
-        private readonly parts: CallForwarderParts,
+        private readonly dependencies: CallForwarderDependencies,
         private readonly call: IncomingCall,
-        private readonly caller: CallerAnswer,
+        private readonly caller: CallerResponse,
     ) {
         const { route } = call;
         this.isIdempotent = route.kind === RouteKind.Safe || (route.kind === RouteKind.Stream && route.isResumable);
-        this.deadline = call.deadline - answerMarginMilliseconds;
+        this.deadline = call.deadline - responseMarginMilliseconds;
         this.stream = EventStreamRelay.create(caller, call.lastEventId, () => this.handleFirstEvent());
     }
 
-    static create(parts: CallForwarderParts, call: IncomingCall, caller: CallerAnswer): ForwardedCall {
-        return new ForwardedCall(parts, call, caller);
+    static create(dependencies: CallForwarderDependencies, call: IncomingCall, caller: CallerResponse): ForwardedCall {
+        return new ForwardedCall(dependencies, call, caller);
     }
 
     async runAttempts(): Promise<CallReport> {
-        const { call, parts, caller } = this;
-        parts.allowance.recordRequest(call.service);
+        const { call, dependencies, caller } = this;
+        dependencies.allowance.recordRequest(call.service);
         for (;;) {
-            if (caller.isCallerGone()) {
-                return this.createReport(CallOutcome.CallerLeft, undefined);
+            if (caller.isCallerDisconnected()) {
+                return this.createReport(CallOutcome.CallerDisconnected, undefined);
             }
-            if (parts.crashes.isRefused(call)) {
-                const deaths = parts.ledger.countDeaths(call.getFingerprint());
+            if (dependencies.crashes.isRefused(call)) {
+                const deaths = dependencies.ledger.countDeaths(call.getFingerprint());
                 return this.createFailureReport(
                     Failure.create(this.verdict, Diagnostics.Request_ended_0_endpoints_and_is_not_sent_again, deaths),
                 );
             }
             const placement = this.choosePlacement();
             if (placement.err) {
-                this.recordUnservedWork();
+                this.recordUnplacedDemand();
                 return this.createFailureReport(placement.val);
             }
-            if (this.sends > 0 && !parts.allowance.takeRepeat(call.service)) {
+            if (this.sends > 0 && !dependencies.allowance.takeRepeat(call.service)) {
                 return this.createFailureReport(Failure.create(this.verdict, Diagnostics.Retry_budget_is_spent));
             }
-            const end = await this.runAttempt(placement.val);
-            const report = this.settleAttempt(placement.val, end);
+            const result = await this.runAttempt(placement.val);
+            const report = this.finishAttempt(placement.val, result);
             if (report !== undefined) {
                 return report;
             }
@@ -113,112 +116,112 @@
     }
 
     private choosePlacement(): Result<Placement, Failure> {
-        const { call, parts } = this;
-        const timeLeft = this.deadline - parts.clock.getMonotonicTime();
-        return parts.chooser.choosePlacement({
+        const { call, dependencies } = this;
+        const timeLeft = this.deadline - dependencies.clock.getMonotonicTime();
+        return dependencies.chooser.choosePlacement({
             service: call.service,
             prompt: call.prompt,
             timeLeft,
-            // A stream that has begun is better late than broken off.
-            objective: this.caller.hasBegun() ? timeLeft : call.route.objective,
+            // For a stream that has started, a late end is better than an interruption.
+            objective: this.caller.hasStarted() ? timeLeft : call.route.objective,
             rank: call.rank,
             tried: this.tried,
             isBoundStream: call.route.kind === RouteKind.Stream && !this.isIdempotent,
         });
     }
 
-    /** Counts what could not be placed as load: the fleet has to grow for it. */
-    private recordUnservedWork(): void {
-        const { call, parts } = this;
+    /** Records the demand of a call that could not be placed, so that the fleet grows for it. */
+    private recordUnplacedDemand(): void {
+        const { call, dependencies } = this;
         if (call.prompt !== undefined && this.sends === 0) {
-            parts.work.recordWork(call.service, call.prompt.inputTokens, call.prompt.maxOutputTokens);
+            dependencies.work.recordWork(call.service, call.prompt.inputTokens, call.prompt.maxOutputTokens);
         }
     }
 
-    private async runAttempt(placement: Placement): Promise<AttemptEnd> {
-        const { call, parts, caller } = this;
+    private async runAttempt(placement: Placement): Promise<AttemptResult> {
+        const { call, dependencies, caller } = this;
         this.lastEndpoint = placement.endpoint.entry.id;
-        this.attempt = CallAttempt.create(parts, {
+        this.attempt = CallAttempt.create(dependencies, {
             call,
             caller,
             placement,
             deadline: this.deadline,
             lastEventId: this.stream.getLastEventId(),
             stream: call.route.kind === RouteKind.Stream ? this.stream : undefined,
-            mayRunAgain: this.isIdempotent && this.runs + 1 < call.route.attempts,
+            mayRetry: this.isIdempotent && this.runs + 1 < call.route.attempts,
         });
         return this.attempt.run();
     }
 
-    /** Returns the report when the call has ended, and undefined when another attempt is to be made. */
-    private settleAttempt(placement: Placement, end: AttemptEnd): CallReport | undefined {
-        const { call, caller, parts } = this;
-        if (end.failure === undefined) {
-            this.recordCallRun(end);
-            return this.createReport(CallOutcome.Answered, undefined);
+    /** Records the result of an attempt; returns the report when the call has ended, or undefined when it is to be retried. */
+    private finishAttempt(placement: Placement, result: AttemptResult): CallReport | undefined {
+        const { call, caller, dependencies } = this;
+        if (result.failure === undefined) {
+            this.recordCallRun(result);
+            return this.createReport(CallOutcome.Completed, undefined);
         }
         this.tried.add(placement.endpoint);
-        this.sends += end.hasArrived ? 1 : 0;
-        this.verdict = raiseVerdict(this.verdict, end.failure.verdict);
-        if (end.failure.verdict !== Verdict.NotRun) {
+        this.sends += result.mayHaveArrived ? 1 : 0;
+        this.verdict = raiseVerdict(this.verdict, result.failure.verdict);
+        if (result.failure.verdict !== Verdict.NotRun) {
             this.runs += 1;
-            this.recordCallRun(end);
+            this.recordCallRun(result);
         }
-        if (caller.isCallerGone()) {
-            return this.createReport(CallOutcome.CallerLeft, undefined);
+        if (caller.isCallerDisconnected()) {
+            return this.createReport(CallOutcome.CallerDisconnected, undefined);
         }
-        parts.log.log(LogEvents.AttemptFailed, {
+        dependencies.log.log(LogEvents.AttemptFailed, {
             request: call.id,
             endpoint: placement.endpoint.entry.id,
-            verdict: end.failure.verdict,
-            cause: end.failure.text,
+            verdict: result.failure.verdict,
+            cause: result.failure.text,
             expectedTime: Math.round(placement.expectedTime),
-            timeLeft: Math.round(this.deadline - parts.clock.getMonotonicTime()),
+            timeLeft: Math.round(this.deadline - dependencies.clock.getMonotonicTime()),
             sends: this.sends,
         });
-        const mayGoOn = this.verdict === Verdict.NotRun || (this.isIdempotent && this.runs < call.route.attempts);
-        if (!mayGoOn || this.sends >= sendLimit || end.isLate) {
-            return this.createFailureReport(end.failure, end.isLate);
+        const isRetryAllowed = this.verdict === Verdict.NotRun || (this.isIdempotent && this.runs < call.route.attempts);
+        if (!isRetryAllowed || this.sends >= sendLimit || result.isPastDeadline) {
+            return this.createFailureReport(result.failure, result.isPastDeadline);
         }
         return undefined;
     }
 
     private handleFirstEvent(): void {
-        const now = this.parts.clock.getMonotonicTime();
+        const now = this.dependencies.clock.getMonotonicTime();
         this.firstByteAt ??= now;
         this.attempt?.recordFirstEvent();
-        // At once: a long stream ends after the report of the window in which it began.
+        // Recorded now and not at the end: a long stream ends after the usage report of the window in which it started.
         this.recordRun(now);
     }
 
-    /** Counts the run of a call, which began when it was sent; a stream's is counted with its first event. */
-    private recordCallRun(end: AttemptEnd): void {
+    /** Records the run of a call as usage, at the time when it was sent. A stream's run is recorded with its first event. */
+    private recordCallRun(result: AttemptResult): void {
         if (this.call.route.kind !== RouteKind.Stream) {
-            this.recordRun(end.sentAt);
+            this.recordRun(result.sentAt);
         }
     }
 
     private recordRun(startedAt: number): void {
-        const { call, parts } = this;
+        const { call, dependencies } = this;
         if (call.team !== undefined) {
-            parts.usage.recordRun(call.team.name, startedAt);
+            dependencies.usage.recordRun(call.team.name, startedAt);
         }
     }
 
-    private createFailureReport(failure: Failure, isLate = false): CallReport {
-        if (this.caller.hasBegun()) {
-            return this.createReport(CallOutcome.Broken, failure);
+    private createFailureReport(failure: Failure, isPastDeadline = false): CallReport {
+        if (this.caller.hasStarted()) {
+            return this.createReport(CallOutcome.Interrupted, failure);
         }
         const outcome = this.verdict === Verdict.NotRun ? CallOutcome.Refused : CallOutcome.Failed;
-        return this.createReport(outcome, this.chooseFailure(failure, isLate));
+        return this.createReport(outcome, this.chooseFailure(failure, isPastDeadline));
     }
 
-    /** Chooses what the caller is told: a promise that it has not run only where that is certain. */
-    private chooseFailure(failure: Failure, isLate: boolean): Failure {
+    /** Chooses the failure that is sent to the caller; it guarantees that the request has not run only where that is certain. */
+    private chooseFailure(failure: Failure, isPastDeadline: boolean): Failure {
         if (this.verdict === Verdict.NotRun) {
-            return isLate ? Failure.create(Verdict.NotRun, Diagnostics.Deadline_passed_before_it_ran) : failure;
+            return isPastDeadline ? Failure.create(Verdict.NotRun, Diagnostics.Deadline_passed_before_it_ran) : failure;
         }
-        if (isLate) {
+        if (isPastDeadline) {
             return Failure.create(this.verdict, Diagnostics.Endpoint_did_not_answer_in_time);
         }
         return failure.message.status === Diagnostics.Answer_broke_off.status
--- a/src/gateway/callProtocol.ts
+++ b/src/gateway/callProtocol.ts
@@ -1,36 +1,36 @@
 /**
- * The header names and words of a call between callers, nodes and endpoints. Each deployment gives its own; what they mean
- * is the same everywhere. Header names are in lower case.
+ * Header names and other deployment-specific names of the HTTP protocol between callers, nodes and endpoints. Their meaning is the
+ * same in all deployments. Header names are in lower case.
  */
 export interface CallProtocol {
-    /** Identifies one attempt of the caller; forwarded as it is and echoed by the endpoint. */
+    /** Id of one attempt of the caller; forwarded unchanged and echoed by the endpoint. */
     readonly attemptId: string;
-    /** Milliseconds that the sender still waits for the answer. */
+    /** Milliseconds that the sender still waits for the response. */
     readonly timeLeft: string;
-    /** Name of the team whose key the caller used; only nodes set it. */
+    /** Name of the team whose key the caller used; set only by nodes. */
     readonly team: string;
-    /** Identity of the one endpoint that may run the request. */
+    /** Id of the only endpoint that may run the request. */
     readonly expectedEndpoint: string;
-    /** Marks an answer whose request has not run. */
+    /** Marks a response whose request has not run. */
     readonly notRun: string;
-    /** The endpoint's signature of a complete answer. */
+    /** The endpoint's signature of a complete response. */
     readonly signature: string;
-    /** Running requests, waiting requests and slots, separated by commas. */
+    /** The endpoint's running requests, waiting requests and slots, separated by commas. */
     readonly load: string;
     readonly retryAfter: string;
     readonly lastEventId: string;
-    /** Parts of the prompt as id and tokens. */
+    /** Prompt parts as `id:tokens`, separated by commas. */
     readonly promptParts: string;
-    /** Tokens in and most tokens out. */
+    /** Number of input tokens and largest number of output tokens, separated by a comma. */
     readonly tokenCounts: string;
     /** Urgency for the engine, 0 to 9, where 0 is first. */
     readonly urgency: string;
-    /** Address of an engine from which cached parts of the prompt are copied; undefined where engines cannot do that. */
+    /** Address of an engine to copy cached prompt parts from; undefined where engines do not support copying. */
     readonly cacheSource: string | undefined;
     /** Scheme of the authorization header. */
     readonly authorizationScheme: string;
-    /** Headers that only nodes may set; what a caller sends of them is dropped. */
+    /** Further headers that only nodes may set; they are removed from callers' requests. */
     readonly reservedHeaders: readonly string[];
-    /** Path of the readiness check, asked by the balancer. */
+    /** Path of the readiness check that the load balancer requests. */
     readonly readinessPath: string;
 }
--- a/src/gateway/callReader.ts
+++ b/src/gateway/callReader.ts
@@ -15,17 +15,17 @@
 
 const idPattern = /^[!-~]{1,200}$/;
 const partPattern = /^([0-9a-fA-F]+):(\d+)$/;
-/** Parts of one prompt that are heeded; more come from no proper caller. */
-const partLimit = 256;
+/** Largest number of parts read for one prompt; valid callers do not send more. */
+const promptPartLimit = 256;
 
-/** A call's body, read in full. */
+/** The complete body of a call. */
 export interface CallBody {
     readonly bytes: Buffer;
-    /** Whether the request had a body at all, be it an empty one. */
+    /** Whether the request had a body, which may be empty. */
     readonly isPresent: boolean;
 }
 
-/** Turns a received request into a call: route, team, prompt and deadline. Fails with the answer that the caller gets. */
+/** Reads a received request into a call: resolves its route and team, and reads its prompt and deadline. */
 export class CallReader {
     private constructor(
         private readonly protocol: CallProtocol,
@@ -38,6 +38,7 @@
         return new CallReader(protocol, clock, random, tracing);
     }
 
+    /** Returns the call, or the failure that is sent to the caller. `arrivedAt` is in monotonic milliseconds. */
     readCall(request: IncomingMessage, body: CallBody, arrivedAt: number, table: RouteTable): Result<IncomingCall, Failure> {
         const { protocol } = this;
         const target = request.url ?? "";
@@ -54,7 +55,9 @@
             return Err(createRejection(Diagnostics.Header_0_is_missing, protocol.attemptId));
         }
         if (!idPattern.test(id)) {
-            return Err(createRejection(Diagnostics.Header_0_is_not_valid_1, protocol.attemptId, "1 to 200 visible characters are allowed"));
+            return Err(
+                createRejection(Diagnostics.Header_0_is_not_valid_1, protocol.attemptId, "expected 1 to 200 visible ASCII characters"),
+            );
         }
         const timeLeft = this.readTimeLeft(request, route.timeLimit);
         if (timeLeft.err) {
@@ -72,7 +75,7 @@
             service: pickService(route, this.random),
             team: team.val,
             rank: team.val?.priority ?? route.priority,
-            isKeyed: table.hasTeams(),
+            usesTeamKeys: table.hasTeams(),
             getFingerprint: () => fingerprint ??= hashCall(team.val?.name ?? "", request.method ?? "", target, body.bytes),
             prompt: this.readPrompt(request),
             lastEventId: readHeader(request, protocol.lastEventId),
@@ -88,12 +91,12 @@
         }
         const scheme = `${this.protocol.authorizationScheme} `;
         const header = readHeader(request, "authorization");
-        const isBearer = header?.slice(0, scheme.length).toLowerCase() === scheme.toLowerCase();
-        const team = isBearer ? table.findTeamByKey((header as string).slice(scheme.length).trim()) : undefined;
+        const hasExpectedScheme = header?.slice(0, scheme.length).toLowerCase() === scheme.toLowerCase();
+        const team = hasExpectedScheme ? table.findTeamByKey((header as string).slice(scheme.length).trim()) : undefined;
         if (team !== undefined || route.isPublic) {
             return Ok(team);
         }
-        return Err(createRejection(isBearer ? Diagnostics.Token_is_not_known : Diagnostics.Authorization_is_missing));
+        return Err(createRejection(hasExpectedScheme ? Diagnostics.Token_is_not_known : Diagnostics.Authorization_is_missing));
     }
 
     private readTimeLeft(request: IncomingMessage, timeLimit: number): Result<number, Failure> {
@@ -103,7 +106,13 @@
         }
         const milliseconds = Number(header);
         if (header.trim() === "" || !Number.isFinite(milliseconds) || milliseconds < 0) {
-            return Err(createRejection(Diagnostics.Header_0_is_not_valid_1, this.protocol.timeLeft, "milliseconds are allowed"));
+            return Err(
+                createRejection(
+                    Diagnostics.Header_0_is_not_valid_1,
+                    this.protocol.timeLeft,
+                    "expected a non-negative number of milliseconds",
+                ),
+            );
         }
         return Ok(Math.min(milliseconds, timeLimit));
     }
@@ -119,10 +128,10 @@
     }
 }
 
-/** Parses the parts of a prompt; what cannot be read ends the list, since parts only help in order. */
+/** Parses the parts of a prompt. Stops at the first invalid part, because only an unbroken prefix of parts is useful. */
 export function parsePromptParts(text: string): PromptPart[] {
     const parts: PromptPart[] = [];
-    for (const item of text.split(",").slice(0, partLimit)) {
+    for (const item of text.split(",").slice(0, promptPartLimit)) {
         const match = partPattern.exec(item.trim());
         if (!match) {
             return parts;
--- a/src/gateway/callerAnswer.ts
+++ b/src/gateway/callerAnswer.ts
@@ -1,51 +1,53 @@
 import { ServerResponse } from "node:http";
 import { Failure } from "../common/failure.js";
 
-const contentTypeProblem = "application/problem+json";
+const problemContentType = "application/problem+json";
 
-/** Writes to one caller, and knows whether the caller is still there. */
-export class CallerAnswer {
-    private readonly leaving = new AbortController();
+/** Writes the response to one caller and detects when the caller disconnects. */
+export class CallerResponse {
+    private readonly disconnectController = new AbortController();
 
-    private constructor(private readonly response: ServerResponse, private readonly getIsStopping: () => boolean) {
+    private constructor(private readonly response: ServerResponse, private readonly isServerStopping: () => boolean) {
         response.once("close", () => {
             if (!response.writableFinished) {
-                this.leaving.abort();
+                this.disconnectController.abort();
             }
         });
-        response.on("error", () => this.leaving.abort());
-        response.req.once("error", () => this.leaving.abort());
+        response.on("error", () => this.disconnectController.abort());
+        response.req.once("error", () => this.disconnectController.abort());
     }
 
-    static create(response: ServerResponse, getIsStopping: () => boolean): CallerAnswer {
-        return new CallerAnswer(response, getIsStopping);
+    static create(response: ServerResponse, isServerStopping: () => boolean): CallerResponse {
+        return new CallerResponse(response, isServerStopping);
     }
 
-    /** Aborts when the caller leaves before its answer has ended. */
-    getLeavingSignal(): AbortSignal {
-        return this.leaving.signal;
+    /** Returns a signal that aborts when the caller disconnects before its response has ended. */
+    getDisconnectSignal(): AbortSignal {
+        return this.disconnectController.signal;
     }
 
-    isCallerGone(): boolean {
-        return this.leaving.signal.aborted;
+    /** Returns whether the caller disconnected before its response had ended. */
+    isCallerDisconnected(): boolean {
+        return this.disconnectController.signal.aborted;
     }
 
-    hasBegun(): boolean {
+    /** Returns whether the response's status and headers have been sent. */
+    hasStarted(): boolean {
         return this.response.headersSent;
     }
 
-    /** Sends the head of an endpoint's answer. */
-    startAnswer(status: number, headers: string[]): void {
-        this.closeWhenStopping(headers);
+    /** Sends the status and headers of an endpoint's response. The headers are a flat list of names and values. */
+    startResponse(status: number, headers: string[]): void {
+        this.addCloseHeader(headers);
         this.response.writeHead(status, headers as unknown as never);
     }
 
-    /** Sends bytes of the body; returns false when the caller reads more slowly than they come. */
+    /** Writes bytes of the body; returns false when the caller reads too slowly and the writer must wait for `waitForDrain`. */
     writeBytes(bytes: Buffer): boolean {
         return this.response.write(bytes);
     }
 
-    /** Waits until the caller has read what was written, or is gone. */
+    /** Waits until the written bytes have been flushed or the caller has disconnected. */
     waitForDrain(): Promise<void> {
         return new Promise(resolve => {
             const finish = () => {
@@ -58,7 +60,7 @@
         });
     }
 
-    finishAnswer(lastBytes?: Buffer): void {
+    finishResponse(lastBytes?: Buffer): void {
         if (lastBytes === undefined || lastBytes.length === 0) {
             this.response.end();
             return;
@@ -66,14 +68,14 @@
         this.response.end(lastBytes);
     }
 
-    /** Breaks an answer off, so that it cannot be taken for a whole one. */
-    abortAnswer(): void {
+    /** Closes the connection without ending the response, so that the caller detects that it is truncated. */
+    abortResponse(): void {
         this.response.destroy();
     }
 
-    /** Sends the node's own answer to a request that was not served. The time to come back is in seconds. */
+    /** Sends a problem document for a failed request, unless the response has started. `retryAfter` is in seconds. */
     sendFailure(failure: Failure, retryAfter: number | undefined, retryAfterHeader: string): void {
-        if (this.isCallerGone() || this.hasBegun()) {
+        if (this.isCallerDisconnected() || this.hasStarted()) {
             return;
         }
         const body = Buffer.from(JSON.stringify({
@@ -82,17 +84,17 @@
             status: failure.message.status,
             verdict: failure.verdict,
         }));
-        const headers = ["content-type", contentTypeProblem, "content-length", String(body.length)];
+        const headers = ["content-type", problemContentType, "content-length", String(body.length)];
         if (retryAfter !== undefined) {
             headers.push(retryAfterHeader, retryAfter.toFixed(2));
         }
-        this.closeWhenStopping(headers);
+        this.addCloseHeader(headers);
         this.response.writeHead(failure.message.status, headers as unknown as never);
         this.response.end(body);
     }
 
-    private closeWhenStopping(headers: string[]): void {
-        if (this.getIsStopping()) {
+    private addCloseHeader(headers: string[]): void {
+        if (this.isServerStopping()) {
             headers.push("connection", "close");
         }
     }
--- a/src/gateway/collectedTracing.ts
+++ b/src/gateway/collectedTracing.ts
@@ -5,7 +5,7 @@
 const callSpanName = "call";
 const hopSpanName = "endpoint";
 
-/** Sends spans to a collector. Loaded only where one is set: its libraries cost a third of a start. */
+/** Exports the spans of calls and hops to a collector. Loaded only where one is configured: its libraries take a third of the start time. */
 export class CollectedTracing implements HopTracing {
     private constructor(private readonly tracing: Tracing) {}
 
--- a/src/gateway/crashWatch.ts
+++ b/src/gateway/crashWatch.ts
@@ -5,24 +5,25 @@
 import { QuarantineLedger } from "../requests/quarantineLedger.js";
 import { IncomingCall } from "./types.js";
 
-/** Endpoints that a request must have ended before it is refused: fewer would refuse those that ran beside it by chance. */
+/** Number of endpoints that a request must have crashed before it is refused; fewer would also refuse requests that ran beside it by chance. */
 export const deathsUntilRefusal = 3;
-/** Time between a request's loss and the sign of its endpoint's death, in milliseconds: three silent heartbeats and some. */
-const confirmMilliseconds = 4_500;
+/** Longest time from the loss of a request to the evidence that its endpoint crashed: three missed heartbeats, plus a margin. */
+const crashConfirmationMilliseconds = 4_500;
 
-/** Time in which a request that did no harm is cleared by being served, in milliseconds: a call or a first event takes less. */
-const clearingMilliseconds = 500;
+/** Time that a suspect request has to be cleared by a success before it is refused; a call or a first event takes less. */
+const clearanceMilliseconds = 500;
 
+/** A request whose connection was lost, in monotonic milliseconds. */
 interface LostRequest {
     readonly fingerprint: string;
     readonly at: number;
 }
 
-/** Finds requests that end the endpoints that run them: lost at an endpoint that then turns out to be dead, several times. */
+/** Detects poison requests: requests that were lost several times at endpoints that turned out to have crashed. */
 export class CrashWatch {
-    /** When a request was first met with enough deaths to be refused. */
-    private readonly suspectedSince = new Map<string, number>();
-    private readonly lost = new Map<FleetEndpoint, LostRequest[]>();
+    /** Monotonic time at which a request was first seen with enough crashes to be refused, by fingerprint. */
+    private readonly suspectedSinceByFingerprint = new Map<string, number>();
+    private readonly lostRequestsByEndpoint = new Map<FleetEndpoint, LostRequest[]>();
 
     private constructor(
         private readonly ledger: QuarantineLedger,
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Whether a request has ended so many endpoints that it gets no more. Endpoints that die together end many requests that did them no harm;
-     * such a request soon succeeds somewhere and is cleared.
+     * Returns whether a request has crashed too many endpoints to be sent again. Endpoints that crash together also lose harmless requests;
+     * such a request soon succeeds at another endpoint and is cleared.
      */
     isRefused(call: IncomingCall): boolean {
         if (this.ledger.isEmpty()) {
@@ -44,16 +45,16 @@
         }
         const fingerprint = call.getFingerprint();
         if (this.ledger.countDeaths(fingerprint) < deathsUntilRefusal) {
-            this.suspectedSince.delete(fingerprint);
+            this.suspectedSinceByFingerprint.delete(fingerprint);
             return false;
         }
         const now = this.clock.getMonotonicTime();
-        const since = this.suspectedSince.get(fingerprint) ?? now;
-        this.suspectedSince.set(fingerprint, since);
-        return now - since >= clearingMilliseconds;
+        const since = this.suspectedSinceByFingerprint.get(fingerprint) ?? now;
+        this.suspectedSinceByFingerprint.set(fingerprint, since);
+        return now - since >= clearanceMilliseconds;
     }
 
-    /** Records that a request was served: the endpoints that died with it had another cause. */
+    /** Records that a request was served, which clears it: the endpoints that crashed while running it had another cause. */
     recordSuccess(call: IncomingCall): void {
         if (this.ledger.isEmpty()) {
             return;
@@ -65,27 +66,29 @@
         }
     }
 
-    /** Records that the connection of a running request was lost. */
+    /** Records that the connection to an endpoint was lost while it ran a request. */
     recordLoss(endpoint: FleetEndpoint, fingerprint: string): void {
         const now = this.clock.getMonotonicTime();
-        const recent = (this.lost.get(endpoint) ?? []).filter(request => now - request.at < confirmMilliseconds);
+        const recent = (this.lostRequestsByEndpoint.get(endpoint) ?? []).filter(request =>
+            now - request.at < crashConfirmationMilliseconds
+        );
         recent.push({ fingerprint, at: now });
-        this.lost.set(endpoint, recent);
+        this.lostRequestsByEndpoint.set(endpoint, recent);
     }
 
-    /** Records a sign that an endpoint has died: it refuses connections, or another life of it was seen. */
+    /** Records evidence that an endpoint crashed: it refuses connections, or a new incarnation of it was seen. */
     recordDeath(endpoint: FleetEndpoint): void {
-        const requests = this.lost.get(endpoint) ?? [];
-        this.lost.delete(endpoint);
+        const requests = this.lostRequestsByEndpoint.get(endpoint) ?? [];
+        this.lostRequestsByEndpoint.delete(endpoint);
         const now = this.clock.getMonotonicTime();
-        const life = `${endpoint.entry.id}/${endpoint.entry.incarnation}`;
+        const incarnation = `${endpoint.entry.id}/${endpoint.entry.incarnation}`;
         for (const { fingerprint, at } of requests) {
-            if (now - at >= confirmMilliseconds) {
+            if (now - at >= crashConfirmationMilliseconds) {
                 continue;
             }
-            this.ledger.recordDeath(fingerprint, life);
+            this.ledger.recordDeath(fingerprint, incarnation);
             if (this.ledger.countDeaths(fingerprint) === deathsUntilRefusal) {
-                this.suspectedSince.set(fingerprint, now);
+                this.suspectedSinceByFingerprint.set(fingerprint, now);
                 this.log.log(LogEvents.QuarantineAdded, { fingerprint, deaths: deathsUntilRefusal, endpoint: endpoint.entry.id });
             }
         }
--- a/src/gateway/defaultCallProtocol.ts
+++ b/src/gateway/defaultCallProtocol.ts
@@ -1,6 +1,6 @@
 import { CallProtocol } from "./callProtocol.js";
 
-/** The product's own headers of calls, as docs/INTERFACES.md gives them. */
+/** The product's default protocol, as specified in docs/INTERFACES.md. */
 export const defaultCallProtocol: CallProtocol = {
     attemptId: "x-attempt-id",
     timeLeft: "x-time-left-milliseconds",
--- a/src/gateway/endpointConnections.ts
+++ b/src/gateway/endpointConnections.ts
@@ -4,17 +4,17 @@
 import { millisecondsPerSecond } from "../common/units.js";
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
 
-/** Longest idle time after which a connection is used again, whatever the endpoint allows, in milliseconds. */
-const longestIdleMilliseconds = 10_000;
-/** An endpoint that states no idle timeout may have one below a second, the smallest that the header can tell. */
-const unstatedIdleMilliseconds = 300;
-/** Part of a stated idle timeout that is used: the endpoint may close while the next request is on its way. */
+/** Longest idle time after which a connection is reused, even if the endpoint allows more. */
+const maximumIdleMilliseconds = 10_000;
+/** Idle limit for endpoints that send no Keep-Alive timeout; theirs may be below one second, the smallest value of the header. */
+const defaultIdleMilliseconds = 300;
+/** Fraction of the endpoint's idle timeout that is used, since the endpoint may close the connection while the next request is in transit. */
 const usedShareOfIdleTimeout = 0.6;
 const keepAlivePattern = /timeout=(\d+)/;
 
-/** Keeps connections to one endpoint, each only for as long as the endpoint allows and only while nothing came on it unasked. */
+/** Pools the connections to one endpoint; closes an idle one when its idle limit passes or unexpected data arrives on it. */
 class EndpointAgent extends Agent {
-    private readonly strayHandlers = new WeakMap<Duplex, () => void>();
+    private readonly unexpectedDataHandlers = new WeakMap<Duplex, () => void>();
 
     private constructor() {
         super({ keepAlive: true, scheduling: "lifo", maxFreeSockets: Infinity });
@@ -26,14 +26,14 @@
 
     override keepSocketAlive(stream: Duplex): boolean {
         const socket = stream as Socket;
-        const answer = (stream as { _httpMessage?: { res?: { headers: Record<string, string | undefined>; }; }; })._httpMessage?.res;
-        const limit = readIdleLimit(answer?.headers["keep-alive"]);
+        const response = (stream as { _httpMessage?: { res?: { headers: Record<string, string | undefined>; }; }; })._httpMessage?.res;
+        const limit = readIdleLimit(response?.headers["keep-alive"]);
         if (limit <= 0 || socket.readableLength > 0) {
             return false;
         }
-        // Bytes on an idle connection belong to no request, so nothing after them can be trusted.
+        // Bytes on an idle connection belong to no request; a response read after them might be one to another request.
         const destroy = () => void socket.destroy();
-        this.strayHandlers.set(socket, destroy);
+        this.unexpectedDataHandlers.set(socket, destroy);
         socket.on("data", destroy);
         socket.setTimeout(limit, destroy);
         return true;
@@ -41,7 +41,7 @@
 
     override reuseSocket(stream: Duplex, request: ClientRequest): void {
         const socket = stream as Socket;
-        const destroy = this.strayHandlers.get(socket);
+        const destroy = this.unexpectedDataHandlers.get(socket);
         if (destroy !== undefined) {
             socket.off("data", destroy);
             socket.off("timeout", destroy);
@@ -51,15 +51,16 @@
     }
 }
 
+/** Returns the idle limit for a Keep-Alive header, in milliseconds. */
 function readIdleLimit(header: string | undefined): number {
-    const stated = header === undefined ? undefined : keepAlivePattern.exec(header)?.[1];
-    if (stated === undefined) {
-        return unstatedIdleMilliseconds;
+    const statedSeconds = header === undefined ? undefined : keepAlivePattern.exec(header)?.[1];
+    if (statedSeconds === undefined) {
+        return defaultIdleMilliseconds;
     }
-    return Math.min(longestIdleMilliseconds, Number(stated) * millisecondsPerSecond * usedShareOfIdleTimeout);
+    return Math.min(maximumIdleMilliseconds, Number(statedSeconds) * millisecondsPerSecond * usedShareOfIdleTimeout);
 }
 
-/** The kept connections of every endpoint. */
+/** Keeps one pool of reusable connections for each endpoint. */
 export class EndpointConnections {
     private readonly agents = new Map<FleetEndpoint, EndpointAgent>();
 
@@ -69,18 +70,18 @@
         return new EndpointConnections();
     }
 
-    /** Returns the connections of an endpoint. */
+    /** Returns the agent that pools the connections of an endpoint. */
     getAgent(endpoint: FleetEndpoint): Agent {
-        const known = this.agents.get(endpoint);
-        if (known !== undefined) {
-            return known;
+        const existing = this.agents.get(endpoint);
+        if (existing !== undefined) {
+            return existing;
         }
         const agent = EndpointAgent.create();
         this.agents.set(endpoint, agent);
         return agent;
     }
 
-    /** Closes the idle connections of an endpoint that gets no more requests; those in use end with their answers. */
+    /** Closes the idle connections of an endpoint that receives no more requests; those in use close after their responses. */
     closeIdle(endpoint: FleetEndpoint): void {
         const agent = this.agents.get(endpoint);
         for (const sockets of Object.values(agent?.freeSockets ?? {})) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /** Forgets an endpoint that is gone. */
+    /** Closes the idle connections of an endpoint that left the fleet and removes its pool. */
     removeEndpoint(endpoint: FleetEndpoint): void {
         this.closeIdle(endpoint);
         this.agents.delete(endpoint);
--- a/src/gateway/endpointExchange.ts
+++ b/src/gateway/endpointExchange.ts
@@ -11,33 +11,33 @@
 import { IncomingCall } from "./types.js";
 
 const statusMisdirected = 421;
-/** Statuses that tell a caller that its request has not run; an endpoint that gives one without saying so is not believed. */
-const promisingStatuses = new Set([408, 421, 429, 503]);
+/** Statuses that tell a caller that its request has not run. An endpoint's response with one counts only with the not-run header. */
+const notRunStatuses = new Set([408, 421, 429, 503]);
 const statusOk = 200;
 const statusRedirect = 300;
-const maximumLoad = 100_000;
+const maximumLoadCount = 100_000;
 
-/** Where and how one attempt is sent. Times are in milliseconds. */
+/** Target, headers and limits of one attempt. Times are in milliseconds. */
 export interface ExchangeOptions {
     readonly call: IncomingCall;
     readonly endpoint: FleetEndpoint;
     readonly headers: readonly string[];
     readonly agent: Agent;
     readonly connectTimeout: number;
-    /** Longest silence on the connection. */
+    /** Longest time without socket activity. */
     readonly silenceLimit: number;
     readonly signal: AbortSignal;
 }
 
-/** Sees how a connection ended while one answer is read from it. */
+/** Observes how a connection ends while a response is read from it; needed to recognize a complete response without a length. */
 class ConnectionObserver {
-    /** The endpoint ended its side in order: that marks the end of an answer without a length. */
-    isEndedByEndpoint = false;
+    /** Whether the endpoint closed its side in an orderly way, which marks the end of a response without a length. */
+    isClosedByEndpoint = false;
     hasError = false;
     private socket: Socket | undefined;
     private readonly handleEnd = () => {
-        // A reset that comes together with data is read as an end; but a connection that was reset has no peer any more.
-        this.isEndedByEndpoint = this.socket?.remoteAddress !== undefined;
+        // A reset that arrives together with data is reported as an end, but then the socket has no remote address any more.
+        this.isClosedByEndpoint = this.socket?.remoteAddress !== undefined;
     };
     private readonly handleError = () => {
         this.hasError = true;
@@ -51,19 +51,19 @@
 
     start(socket: Socket): void {
         this.socket = socket;
-        // Before the runtime's own handlers, which end the answer at once.
+        // Must run before the runtime's own handlers, which end the response synchronously.
         socket.prependListener("end", this.handleEnd);
         socket.prependListener("error", this.handleError);
     }
 
-    /** Stops watching: a kept connection serves many answers. */
+    /** Removes the listeners; a pooled connection carries many responses and would accumulate them. */
     stop(): void {
         this.socket?.off("end", this.handleEnd);
         this.socket?.off("error", this.handleError);
     }
 }
 
-/** One attempt of a call at one endpoint: sends the request and judges the head of the answer. */
+/** Sends the request of one attempt to its endpoint and validates the status and headers of the response. */
 export class EndpointExchange {
     private readonly request: EndpointRequest;
     private readonly observer = ConnectionObserver.create();
@@ -87,47 +87,47 @@
         return new EndpointExchange(options, protocol);
     }
 
-    /** Sends the request; returns the answer whose head is the endpoint's own for this request, or a failure with its verdict. */
+    /** Sends the request; returns the response once its headers prove valid for this request, or a failure with its verdict. */
     async sendRequest(): Promise<Result<IncomingMessage, Failure>> {
-        let answer: IncomingMessage;
+        let response: IncomingMessage;
         try {
-            answer = await this.request.send();
+            response = await this.request.send();
         }
         catch (error) {
             return Err(this.request.connection.createFailure(error));
         }
-        this.observer.start(answer.socket);
-        const fault = this.checkHead(answer);
-        if (fault === undefined) {
-            return Ok(answer);
+        this.observer.start(response.socket);
+        const failure = this.checkHead(response);
+        if (failure === undefined) {
+            return Ok(response);
         }
-        this.finishRefused(answer, fault);
-        return Err(fault);
+        this.finishRejectedResponse(response, failure);
+        return Err(failure);
     }
 
-    /** Whether a connection was established, so that the request may have arrived. */
+    /** Returns whether a connection was established, so that the request may have arrived. */
     hasConnection(): boolean {
         return this.request.connection.getVerdict() !== Verdict.NotRun;
     }
 
-    /** Ends the exchange; an answer that is still coming is dropped with its connection. */
+    /** Ends the exchange; closes the connection if the response is still incomplete. */
     close(): void {
         this.observer.stop();
         this.request.close();
     }
 
-    /** Whether an answer that has ended is whole. One without a length is whole only if the endpoint ended the connection in order. */
-    isWhole(answer: IncomingMessage): boolean {
-        if (!answer.complete || this.observer.hasError) {
+    /** Returns whether a response that has ended is complete. One without a length is complete only if the endpoint closed the connection in an orderly way. */
+    isComplete(response: IncomingMessage): boolean {
+        if (!response.complete || this.observer.hasError) {
             return false;
         }
-        const hasLength = answer.headers["content-length"] !== undefined || answer.headers["transfer-encoding"] !== undefined;
-        return hasLength || this.observer.isEndedByEndpoint;
+        const hasLength = response.headers["content-length"] !== undefined || response.headers["transfer-encoding"] !== undefined;
+        return hasLength || this.observer.isClosedByEndpoint;
     }
 
-    /** Reads the load that the endpoint tells with an answer. */
-    readLoad(answer: IncomingMessage): ReportedLoad | undefined {
-        const header = answer.headers[this.protocol.load];
+    /** Reads the load from the response headers; returns undefined when the header is missing or invalid. */
+    readLoad(response: IncomingMessage): ReportedLoad | undefined {
+        const header = response.headers[this.protocol.load];
         if (typeof header !== "string") {
             return undefined;
         }
@@ -138,36 +138,37 @@
         return { running, waiting, slots };
     }
 
-    private checkHead(answer: IncomingMessage): Failure | undefined {
+    private checkHead(response: IncomingMessage): Failure | undefined {
         const { protocol, options } = this;
-        const status = answer.statusCode ?? 0;
-        const named = answer.headers[protocol.attemptId];
-        // On a kept connection an answer without the id may be a late one to an earlier request.
-        const isOwn = named === options.call.id || (named === undefined && !this.request.isConnectionReused());
-        if (!isOwn) {
-            return Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_names_another_request_0, String(named));
+        const status = response.statusCode ?? 0;
+        const responseAttemptId = response.headers[protocol.attemptId];
+        // On a reused connection, a response without the id may be a late response to an earlier request.
+        const isForThisAttempt = responseAttemptId === options.call.id
+            || (responseAttemptId === undefined && !this.request.isConnectionReused());
+        if (!isForThisAttempt) {
+            return Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_names_another_request_0, String(responseAttemptId));
         }
         if (status === statusMisdirected) {
             return Failure.create(Verdict.NotRun, Diagnostics.Another_endpoint_has_the_address);
         }
-        if (answer.headers[protocol.notRun] !== undefined) {
+        if (response.headers[protocol.notRun] !== undefined) {
             return Failure.create(Verdict.NotRun, Diagnostics.Endpoint_refused_before_running_0, `status ${status}`);
         }
-        if (promisingStatuses.has(status)) {
+        if (notRunStatuses.has(status)) {
             return Failure.create(Verdict.MayHaveRun, Diagnostics.Endpoint_failed_with_status_0, status);
         }
         const isSuccess = status >= statusOk && status < statusRedirect;
-        if (isSuccess && answer.headers[protocol.signature] === undefined) {
+        if (isSuccess && response.headers[protocol.signature] === undefined) {
             return Failure.create(Verdict.MayHaveRun, Diagnostics.Endpoint_sent_an_answer_that_cannot_be_read);
         }
         return undefined;
     }
 
-    /** Lets a refusal end on its own, so that its connection can be kept; drops the connection of anything else. */
-    private finishRefused(answer: IncomingMessage, fault: Failure): void {
-        if (fault.verdict === Verdict.NotRun) {
-            answer.on("error", () => this.request.close());
-            answer.resume();
+    /** Discards a rejected response. Drains a refusal, so that its connection can be reused; closes the connection of any other. */
+    private finishRejectedResponse(response: IncomingMessage, failure: Failure): void {
+        if (failure.verdict === Verdict.NotRun) {
+            response.on("error", () => this.request.close());
+            response.resume();
             return;
         }
         this.request.close();
@@ -175,5 +176,5 @@
 }
 
 function isCount(value: number | undefined): value is number {
-    return value !== undefined && Number.isInteger(value) && value >= 0 && value <= maximumLoad;
+    return value !== undefined && Number.isInteger(value) && value >= 0 && value <= maximumLoadCount;
 }
--- a/src/gateway/eventSplitter.test.ts
+++ b/src/gateway/eventSplitter.test.ts
@@ -9,7 +9,7 @@
     ending: fc.constantFrom("\n\n", "\r\n\r\n"),
 });
 
-test("however a stream is cut into chunks, only whole events come out, unchanged, with the id of the last", () => {
+test("returns only complete, unchanged events and the last one's id for any division of the stream into chunks", () => {
     fc.assert(
         fc.property(fc.array(eventArbitrary, { maxLength: 8 }), fc.array(fc.integer({ min: 1, max: 20 })), (events, cuts) => {
             const texts = events.map(event => {
@@ -25,18 +25,18 @@
                 offset = Math.min(whole.length, offset + cut);
             }
             assert.equal(Buffer.concat(out).toString(), texts.join(""));
-            assert.equal(splitter.getLastId(), events.length === 0 ? undefined : String(events[events.length - 1]?.id));
-            assert.equal(Buffer.concat([...out, splitter.getRest()]).toString(), whole.toString());
+            assert.equal(splitter.getLastEventId(), events.length === 0 ? undefined : String(events[events.length - 1]?.id));
+            assert.equal(Buffer.concat([...out, splitter.getIncompleteEvent()]).toString(), whole.toString());
         }),
         { seed: 20_261_204 },
     );
 });
 
-test("an event that broke off is dropped, and the stream goes on after the last whole one", () => {
+test("drops a truncated event, so that the stream resumes after the last complete one", () => {
     const splitter = EventSplitter.create("3");
-    assert.equal(splitter.getLastId(), "3");
+    assert.equal(splitter.getLastEventId(), "3");
     splitter.addBytes(Buffer.from("id: 4\ndata: x\n\nid: 5\nda"));
-    splitter.removeRest();
+    splitter.removeIncompleteEvent();
     assert.equal(splitter.addBytes(Buffer.from("id: 5\ndata: y\n\n")).toString(), "id: 5\ndata: y\n\n");
-    assert.equal(splitter.getLastId(), "5");
+    assert.equal(splitter.getLastEventId(), "5");
 });
--- a/src/gateway/eventSplitter.ts
+++ b/src/gateway/eventSplitter.ts
@@ -2,46 +2,47 @@
 const carriageReturn = 0x0d;
 const idField = "id:";
 
-/** Cuts a stream of server-sent events at the ends of events, and keeps the id of the last whole one. The bytes stay as they are. */
+/** Splits a stream of server-sent events at event boundaries without changing its bytes, and keeps the id of the last complete event. */
 export class EventSplitter {
-    private rest: Buffer = Buffer.alloc(0);
+    private incompleteEvent: Buffer = Buffer.alloc(0);
     private lastId: string | undefined;
 
     private constructor(lastId: string | undefined) {
         this.lastId = lastId;
     }
 
-    /** Starts after the event with an id, or at the beginning. */
+    /** Creates a splitter for a stream that starts after the event with the given id, or at the beginning if it is undefined. */
     static create(lastId: string | undefined): EventSplitter {
         return new EventSplitter(lastId);
     }
 
-    /** Adds received bytes; returns those that complete events, perhaps none. */
+    /** Adds received bytes; returns all complete events that have not been returned yet, which may be empty. */
     addBytes(chunk: Buffer): Buffer {
-        const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+        const bytes = this.incompleteEvent.length === 0 ? chunk : Buffer.concat([this.incompleteEvent, chunk]);
         const end = findLastEventEnd(bytes);
-        this.rest = bytes.subarray(end);
+        this.incompleteEvent = bytes.subarray(end);
         const events = bytes.subarray(0, end);
         this.lastId = findLastId(events) ?? this.lastId;
         return events;
     }
 
-    /** Returns what has come of an event that is not complete. */
-    getRest(): Buffer {
-        return this.rest;
+    /** Returns the bytes of the last event, which is incomplete; empty if there is none. */
+    getIncompleteEvent(): Buffer {
+        return this.incompleteEvent;
     }
 
-    /** Drops what has come of an event that is not complete: its stream broke off. */
-    removeRest(): void {
-        this.rest = Buffer.alloc(0);
+    /** Drops the bytes of an incomplete event after its stream was truncated. */
+    removeIncompleteEvent(): void {
+        this.incompleteEvent = Buffer.alloc(0);
     }
 
-    getLastId(): string | undefined {
+    /** Returns the id of the last complete event, or else the id given at creation. */
+    getLastEventId(): string | undefined {
         return this.lastId;
     }
 }
 
-/** Returns the offset behind the last blank line, or 0. */
+/** Returns the offset after the last blank line, or 0 if there is none. */
 function findLastEventEnd(bytes: Buffer): number {
     let position = bytes.lastIndexOf(lineFeed);
     while (position > 0) {
--- a/src/gateway/forwardedHeaders.ts
+++ b/src/gateway/forwardedHeaders.ts
@@ -3,7 +3,7 @@
 import { CallProtocol } from "./callProtocol.js";
 import { IncomingCall } from "./types.js";
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which apply to a single connection and are not forwarded. */
 const connectionHeaders = new Set([
     "connection",
     "keep-alive",
@@ -20,18 +20,19 @@
 
 const traceHeaderNames = ["traceparent", "tracestate"];
 
-/** What a node adds to a request for one endpoint. */
+/** Values that a node adds to the headers of a request to one endpoint. */
 export interface HopHeaders {
     readonly endpointId: string;
+    /** Time that the node still waits for the response, in milliseconds. */
     readonly timeLeft: number;
     readonly lastEventId: string | undefined;
     readonly urgency: number | undefined;
-    /** Address of the engine that holds more of the prompt. */
+    /** Address of the engine that has more of the prompt in its cache; undefined if there is none. */
     readonly cacheSource: string | undefined;
     readonly traceHeaders: TraceHeaders;
 }
 
-/** Builds the headers of requests to endpoints: the caller's own but for those that are the node's to set. */
+/** Builds the headers of requests to endpoints: the caller's headers, except hop-by-hop headers and those that only nodes set, and the node's own. */
 export class HeaderForwarder {
     private readonly nodeHeaders: ReadonlySet<string>;
 
@@ -50,11 +51,13 @@
         return new HeaderForwarder(protocol);
     }
 
+    /** Returns the headers of one attempt as a flat list of names and values. */
     createHeaders(call: IncomingCall, hop: HopHeaders): string[] {
         const { protocol } = this;
         const isTraced = hop.traceHeaders.traceparent !== undefined;
         const isKept = (name: string) =>
-            !this.nodeHeaders.has(name) && !(call.isKeyed && name === "authorization") && !(isTraced && traceHeaderNames.includes(name));
+            !this.nodeHeaders.has(name) && !(call.usesTeamKeys && name === "authorization")
+            && !(isTraced && traceHeaderNames.includes(name));
         const headers = selectHeaders(call.rawHeaders, isKept);
         headers.push(protocol.timeLeft, String(Math.max(1, Math.floor(hop.timeLeft))));
         headers.push(protocol.expectedEndpoint, hop.endpointId);
@@ -80,9 +83,9 @@
     }
 }
 
-/** Returns the headers of an endpoint's answer that go to the caller. The length is set where it is known. */
-export function createAnswerHeaders(answer: IncomingMessage, length: number | undefined): string[] {
-    const headers = selectHeaders(answer.rawHeaders, () => true);
+/** Returns the headers of an endpoint's response that are forwarded to the caller. Sets Content-Length unless `length` is undefined. */
+export function createResponseHeaders(response: IncomingMessage, length: number | undefined): string[] {
+    const headers = selectHeaders(response.rawHeaders, () => true);
     if (length !== undefined) {
         headers.push("content-length", String(length));
     }
@@ -90,12 +93,12 @@
 }
 
 function selectHeaders(rawHeaders: readonly string[], isKept: (name: string) => boolean): string[] {
-    const named = listNamedByConnection(rawHeaders);
+    const connectionOptions = listConnectionOptions(rawHeaders);
     const kept: string[] = [];
     for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
         const name = rawHeaders[index] as string;
         const lower = name.toLowerCase();
-        if (connectionHeaders.has(lower) || named.has(lower) || !isKept(lower)) {
+        if (connectionHeaders.has(lower) || connectionOptions.has(lower) || !isKept(lower)) {
             continue;
         }
         kept.push(name, rawHeaders[index + 1] as string);
@@ -103,13 +106,13 @@
     return kept;
 }
 
-/** Returns the headers that a Connection header names: they concern this connection only. */
-function listNamedByConnection(rawHeaders: readonly string[]): Set<string> {
-    const named = new Set<string>();
+/** Returns the lower-case names of the headers that a Connection header lists: they are hop-by-hop as well. */
+function listConnectionOptions(rawHeaders: readonly string[]): Set<string> {
+    const names = new Set<string>();
     for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
         if (rawHeaders[index]?.toLowerCase() === "connection") {
-            rawHeaders[index + 1]?.split(",").forEach(name => named.add(name.trim().toLowerCase()));
+            rawHeaders[index + 1]?.split(",").forEach(name => names.add(name.trim().toLowerCase()));
         }
     }
-    return named;
+    return names;
 }
--- a/src/gateway/forwarding.test.ts
+++ b/src/gateway/forwarding.test.ts
@@ -31,7 +31,7 @@
         worker.eventCount = 5;
         worker.eventMilliseconds = 5;
     }
-    // An endpoint that gave no answer is left out for a while; each test begins with all of them.
+    // An endpoint whose connection was lost is not chosen for a while; each test starts with all endpoints available.
     for (const endpoint of gateway.node.container.get(directoryKey).listAll()) {
         endpoint.recordSuccess(1);
         await waitUntil(() => !endpoint.isFull(performance.now()));
@@ -48,13 +48,13 @@
     return workers.reduce((sum, worker) => sum + worker.runs.length, 0);
 }
 
-test("a call reaches one worker unchanged but for what the node sets, and its answer comes back unchanged", async () => {
-    const answer = await gateway.sendCall("/voucher/7?lot=a%20b", {
+test("forwards a call to one worker with only the node's own headers changed, and its response unchanged", async () => {
+    const response = await gateway.sendCall("/voucher/7?lot=a%20b", {
         method: "POST",
         body: "{\"shop\":7}",
         headers: { [HeaderNames.tenant]: "somebody-else", [HeaderNames.hold]: "x", "x-shop": "7" },
     });
-    assert.equal(answer.status, 200);
+    assert.equal(response.status, 200);
     const run = platform.callWorkers.flatMap(worker => worker.runs)[0];
     assert.equal(countRuns(platform.callWorkers), 1);
     assert.equal(run?.target, "/voucher/7?lot=a%20b");
@@ -64,11 +64,11 @@
     assert.equal(run?.headers[HeaderNames.hold], undefined);
     assert.equal(run?.headers["x-shop"], "7");
     assert.equal(Number(run?.headers[HeaderNames.deadline]) <= 1_500, true);
-    assert.equal(answer.body, `answer to ${run?.attemptId}`);
-    assert.equal(answer.headers[HeaderNames.seal], `seal-${run?.attemptId}`);
+    assert.equal(response.body, `answer to ${run?.attemptId}`);
+    assert.equal(response.headers[HeaderNames.seal], `seal-${run?.attemptId}`);
 });
 
-test("calls without a known key, without a route, or with a body too large never reach a worker", async () => {
+test("rejects calls with an unknown key, an unknown path, too large a body or an invalid deadline before they reach a worker", async () => {
     assert.equal((await gateway.sendCall("/lookup/1", { headers: { authorization: "Bearer nobody" } })).status, 401);
     assert.equal((await gateway.sendCall("/lookups/1")).status, 404);
     assert.equal((await gateway.sendCall("/voucher/1", { method: "POST", body: "x".repeat(70_000) })).status, 413);
@@ -86,42 +86,42 @@
         WorkerFault.Unpromised,
     ]
 ) {
-    test(`a voucher whose worker shows ${fault} runs once, and its caller is promised nothing`, async () => {
+    test(`does not retry a non-idempotent call after worker fault ${fault}, nor report that it has not run`, async () => {
         setFault(platform.callWorkers, fault);
-        const answer = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
-        assert.equal(answer.status, 502);
+        const response = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
+        assert.equal(response.status, 502);
         assert.equal(countRuns(platform.callWorkers), 1);
-        assert.equal(answer.headers["retry-after"], undefined);
+        assert.equal(response.headers["retry-after"], undefined);
     });
 
-    test(`a lookup whose worker shows ${fault} is served by the other worker`, async () => {
+    test(`retries an idempotent call at the other worker after worker fault ${fault}`, async () => {
         const faulty = platform.callWorkers[0] as RoutedWorker;
         faulty.faults.push(fault);
         for (let index = 0; index < 50 && faulty.faults.length > 0; index += 1) {
-            const answer = await gateway.sendCall("/lookup/1");
-            assert.equal(answer.status, 200);
+            const response = await gateway.sendCall("/lookup/1");
+            assert.equal(response.status, 200);
         }
-        assert.equal(faulty.faults.length, 0, "the faulty worker was never chosen");
+        assert.equal(faulty.faults.length, 0, "the worker with the fault was not chosen in 50 calls");
     });
 }
 
-test("an answer without a length is whole when its worker ends the connection in order", async () => {
+test("accepts a response without a length as complete when its worker closes the connection in an orderly way", async () => {
     setFault(platform.callWorkers, WorkerFault.Unframed);
-    const answer = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
-    assert.equal(answer.status, 200);
-    assert.equal(answer.body.startsWith("answer to attempt-"), true);
+    const response = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
+    assert.equal(response.status, 200);
+    assert.equal(response.body.startsWith("answer to attempt-"), true);
 });
 
-test("a refusal for want of room is passed to the other worker; when both refuse, the caller hears that it has not run", async () => {
+test("retries a call at the other worker after a refusal for lack of capacity, and responds 503 with a retry time when both refuse", async () => {
     (platform.callWorkers[0] as RoutedWorker).faults.push(WorkerFault.Shed);
     (platform.callWorkers[1] as RoutedWorker).faults.push(WorkerFault.Shed);
-    const answer = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
-    assert.equal(answer.status, 503);
-    assert.equal(Number(answer.headers["retry-after"]) > 0, true);
+    const response = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
+    assert.equal(response.status, 503);
+    assert.equal(Number(response.headers["retry-after"]) > 0, true);
     assert.equal(countRuns(platform.callWorkers), 0);
 });
 
-test("a stray answer after a whole one reaches nobody", async () => {
+test("never delivers an unexpected extra response on a reused connection to another caller", async () => {
     for (let round = 0; round < 6; round += 1) {
         setFault(platform.callWorkers, WorkerFault.ExtraAnswer);
         const first = await gateway.sendCall("/lookup/1");
@@ -136,7 +136,7 @@
     }
 });
 
-test("a stream comes event by event; one that may be resumed goes on at another worker without a gap or a repeat", async () => {
+test("resumes a truncated resumable stream at another worker without missing or duplicate events", async () => {
     const whole = "12345".split("").map(id => `id: ${id}\ndata: piece ${id}\n\n`).join("");
     const plain = await gateway.sendCall("/notice/1", { method: "POST", body: "{}" });
     assert.equal(plain.body, whole);
@@ -144,22 +144,22 @@
     faulty.faults.push(WorkerFault.BreakStream);
     for (let index = 0; index < 50 && faulty.faults.length > 0; index += 1) {
         platform.engines.forEach(worker => (worker.runs.length = 0));
-        const answer = await gateway.sendCall("/question/1", { method: "POST", body: "{}" });
-        assert.equal(answer.body, whole);
+        const response = await gateway.sendCall("/question/1", { method: "POST", body: "{}" });
+        assert.equal(response.body, whole);
     }
     const runs = platform.engines.flatMap(worker => worker.runs);
     assert.deepEqual(runs.map(run => run.startedAfter).sort(), [0, 3]);
 });
 
-test("a stream that may not run again is broken off, never ended as whole", async () => {
+test("truncates the response of a stream that must not be retried instead of ending it as complete", async () => {
     setFault(platform.engines, WorkerFault.BreakStream);
-    const answer = await gateway.sendCall("/notice/1", { method: "POST", body: "{}" });
-    assert.equal(answer.isWhole, false);
-    assert.equal(answer.body.includes("id: 4"), false);
+    const response = await gateway.sendCall("/notice/1", { method: "POST", body: "{}" });
+    assert.equal(response.isWhole, false);
+    assert.equal(response.body.includes("id: 4"), false);
     assert.equal(countRuns(platform.engines), 1);
 });
 
-test("a caller that leaves ends its work at the worker", async () => {
+test("cancels the request at the worker when its caller disconnects", async () => {
     platform.engines.forEach(worker => (worker.eventCount = 1_000));
     const leaving = new AbortController();
     const sent = gateway.sendCall("/notice/1", { method: "POST", body: "{}", signal: leaving.signal });
@@ -169,16 +169,16 @@
     await waitUntil(() => platform.engines.flatMap(worker => worker.runs)[0]?.isCancelled === true);
 });
 
-test("a call that gets no answer ends at its route's time limit, without a promise", async () => {
+test("fails a call without a response with 504 at its route's time limit, and does not retry it", async () => {
     setFault(platform.callWorkers, WorkerFault.Hang);
     const startedAt = performance.now();
-    const answer = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
-    assert.equal(answer.status, 504);
+    const response = await gateway.sendCall("/voucher/1", { method: "POST", body: "{}" });
+    assert.equal(response.status, 504);
     assert.equal(performance.now() - startedAt >= 1_400, true);
     assert.equal(countRuns(platform.callWorkers), 1);
 });
 
-test("a worker at whose address another one answers is not asked again", async () => {
+test("stops sending calls to a worker whose address now belongs to another worker", async () => {
     const stale = platform.callWorkers[0] as RoutedWorker;
     platform.store.putObject("servers", "i-gone", { ...stale.createEntry(), born: 1 });
     await waitUntil(() => gateway.node.container.get(directoryKey).findEndpoint("i-gone") !== undefined);
@@ -189,7 +189,7 @@
     platform.store.removeObject("servers", "i-gone");
 });
 
-test("a worker that says it leaves gets no more requests", async () => {
+test("sends no more requests to a worker that reports that it is draining", async () => {
     const leaving = platform.callWorkers[0] as RoutedWorker;
     leaving.isDraining = true;
     platform.publishWorker(leaving);
@@ -204,7 +204,7 @@
     await waitUntil(() => directory.findEndpoint(leaving.id)?.isUsable() === true);
 });
 
-test("a kept connection to a worker carries many calls without gathering listeners", async () => {
+test("reuses connections to workers for many calls without leaking event listeners", async () => {
     const warnings: string[] = [];
     const record = (warning: Error) => warnings.push(warning.message);
     process.on("warning", record);
@@ -218,7 +218,7 @@
     assert.deepEqual(warnings, []);
 });
 
-test("each call has a span and each hop one below it, and the endpoint gets the hop's context", async () => {
+test("creates a span for each call and a child span for each hop, and sends the hop's context to the endpoint", async () => {
     const exporter = new InMemorySpanExporter();
     const tracing = Tracing.create({ node: "traced", sampleRatio: 1, exporter });
     const traced = await RoutedGateway.start(platform, { name: "traced", tracing: CollectedTracing.create(tracing) });
@@ -236,43 +236,43 @@
     await traced.stop();
 });
 
-/** Sends a request whose endpoint dies of it, and waits until the gateway knows the endpoint's next life. */
-async function endWhoeverRuns(send: () => Promise<CallerView>): Promise<void> {
+/** Sends a request whose worker crashes while running it, and waits until the gateway has recorded the worker's next incarnation. */
+async function killRunningWorker(send: () => Promise<CallerView>): Promise<void> {
     setFault(platform.callWorkers, WorkerFault.ResetAfterRun);
     assert.equal((await send()).status, 502);
-    const dead = platform.callWorkers.find(worker => worker.runs.length > 0) as RoutedWorker;
+    const crashed = platform.callWorkers.find(worker => worker.runs.length > 0) as RoutedWorker;
     platform.callWorkers.forEach(worker => (worker.faults.length = 0));
-    dead.runs.length = 0;
-    dead.born += 1;
-    platform.publishWorker(dead);
-    await waitUntil(() => gateway.node.container.get(directoryKey).findEndpoint(dead.id)?.entry.incarnation === dead.born);
+    crashed.runs.length = 0;
+    crashed.born += 1;
+    platform.publishWorker(crashed);
+    await waitUntil(() => gateway.node.container.get(directoryKey).findEndpoint(crashed.id)?.entry.incarnation === crashed.born);
 }
 
-test("a request that ends each endpoint that runs it is refused after three, and other requests are served", async () => {
-    const sendKiller = () => gateway.sendCall("/voucher/killer", { method: "POST", body: "boom" });
-    for (let death = 0; death < 3; death += 1) {
-        await endWhoeverRuns(sendKiller);
+test("refuses a poison request after it has crashed three endpoints, and still serves other requests", async () => {
+    const sendPoisonRequest = () => gateway.sendCall("/voucher/killer", { method: "POST", body: "boom" });
+    for (let crash = 0; crash < 3; crash += 1) {
+        await killRunningWorker(sendPoisonRequest);
     }
-    // For half a second it might still be cleared by being served somewhere.
+    // A suspect request is refused only after half a second, in which a success would clear it.
     await new Promise(resolve => setTimeout(resolve, 600));
-    const refused = await sendKiller();
+    const refused = await sendPoisonRequest();
     assert.equal(refused.status, 503);
     assert.equal(countRuns(platform.callWorkers), 0);
     assert.equal((await gateway.sendCall("/voucher/killer", { method: "POST", body: "harmless" })).status, 200);
 });
 
-test("a request that many send is not refused because endpoints died with it, once it was served elsewhere", async () => {
-    const sendPopular = () => gateway.sendCall("/voucher/popular", { method: "POST", body: "same" });
-    for (let death = 0; death < 4; death += 1) {
-        await endWhoeverRuns(sendPopular);
-        assert.equal((await sendPopular()).status, 200);
+test("does not refuse a harmless request that ran on crashed endpoints, once it has been served elsewhere", async () => {
+    const sendHarmlessRequest = () => gateway.sendCall("/voucher/popular", { method: "POST", body: "same" });
+    for (let crash = 0; crash < 4; crash += 1) {
+        await killRunningWorker(sendHarmlessRequest);
+        assert.equal((await sendHarmlessRequest()).status, 200);
         platform.callWorkers.forEach(worker => (worker.runs.length = 0));
     }
 });
 
-test("a stream counts as usage from its first event on, though it still runs", async () => {
+test("counts a stream as usage at its first event, while it is still running", async () => {
     const usage = gateway.node.container.get(Keys.Usage);
-    // The same windows each time: those that end meanwhile still count.
+    // Sums all windows since the start of the test, because a window may end while it runs.
     const first = usage.getWindow(Date.now());
     const countRequests = () => {
         let sum = 0;
@@ -291,7 +291,7 @@
     await call;
 });
 
-test("kept connections of callers carry many calls", async () => {
+test("serves several calls of a caller on one reused connection", async () => {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     for (let index = 0; index < 5; index += 1) {
         assert.equal((await gateway.sendCall("/lookup/1", { agent })).status, 200);
--- a/src/gateway/gatewayMetrics.ts
+++ b/src/gateway/gatewayMetrics.ts
@@ -2,7 +2,7 @@
 
 const latencyBucketsSeconds = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.7, 1, 1.5, 2.5, 5, 10, 15];
 
-/** The metrics of a gateway. */
+/** Prometheus metrics of a gateway node. */
 export class GatewayMetrics {
     readonly calls: Counter<"service" | "outcome" | "cause">;
     readonly duration: Histogram<"route" | "outcome">;
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -11,27 +11,27 @@
 import { SharedRateLimiter } from "../quotas/sharedRateLimiter.js";
 import { ConfigurationHolder } from "../routes/configurationHolder.js";
 import { CallerLimits, UsageUnit } from "../routes/types.js";
-import { CallerAnswer } from "./callerAnswer.js";
+import { CallerResponse } from "./callerAnswer.js";
 import { CallForwarder, CallReport } from "./callForwarder.js";
 import { CallBody, CallReader } from "./callReader.js";
 import { GatewayMetrics } from "./gatewayMetrics.js";
 import { chooseRetryAfter } from "./retryAfter.js";
 import { CallOutcome, IncomingCall } from "./types.js";
 
-/** Limits before the operator's are known; generous, since nothing is served by then. */
+/** Limits until the configuration is loaded; generous, since no request is served before that. */
 const initialLimits: CallerLimits = {
     headerBytes: 64 * bytesPerKibibyte,
     bodyBytes: 4 * bytesPerMebibyte,
     headerTimeout: 10_000,
     idleTimeout: 60_000,
 };
-/** Time beyond the idle limit for which a connection is kept, in milliseconds: a request may be on its way. */
+/** Time beyond the idle limit for which a connection is kept open, because a request may be in transit. */
 const idleMarginMilliseconds = 2_000;
-/** Backlog of connections that are not accepted yet: a burst of new callers after many nodes ended at once. */
+/** Backlog of connections that are not accepted yet; sized for the burst of callers after many nodes stopped at once. */
 const listenBacklog = 1_024;
 
-/** What the server works with. */
-export interface GatewayServerParts {
+/** Dependencies of the gateway server. */
+export interface GatewayServerDependencies {
     readonly clock: Clock;
     readonly log: EventLog;
     readonly metrics: GatewayMetrics;
@@ -42,14 +42,14 @@
     readonly retryAfterHeader: string;
 }
 
-/** Serves callers by the routes in force. */
+/** HTTP server for callers: reads their calls, enforces usage caps, forwards the calls, and records each outcome. */
 export class GatewayServer {
     private readonly server: Server;
     private limits = initialLimits;
     private openCalls = 0;
     private isStopping = false;
 
-    private constructor(private readonly parts: GatewayServerParts) {
+    private constructor(private readonly dependencies: GatewayServerDependencies) {
         this.server = createServer({
             maxHeaderSize: initialLimits.headerBytes,
             headersTimeout: initialLimits.headerTimeout,
@@ -58,23 +58,24 @@
             noDelay: true,
         }, (request, response) => void this.serveRequest(request, response));
         this.server.on("clientError", (_error, socket) => socket.destroy());
-        parts.configuration.addListener(table => this.applyLimits(table.configuration.limits));
+        dependencies.configuration.addListener(table => this.applyLimits(table.configuration.limits));
     }
 
-    static create(parts: GatewayServerParts): GatewayServer {
-        return new GatewayServer(parts);
+    static create(dependencies: GatewayServerDependencies): GatewayServer {
+        return new GatewayServer(dependencies);
     }
 
+    /** Starts to listen; returns the actual address, also when the given port is 0. */
     async start(address: NetworkAddress): Promise<NetworkAddress> {
         return startListening(this.server, address, listenBacklog);
     }
 
-    /** Returns how many calls have not ended. */
+    /** Returns the number of calls that have not ended. */
     countOpenCalls(): number {
         return this.openCalls;
     }
 
-    /** Tells callers with each answer that the connection ends; the listener stays open. */
+    /** Adds `connection: close` to all further responses. New connections are still accepted. */
     startDraining(): void {
         this.isStopping = true;
     }
@@ -85,23 +86,23 @@
         this.server.closeIdleConnections();
     }
 
-    /** Ends every connection, also those that carry requests. */
+    /** Closes all connections, including those that carry requests. */
     closeAll(): void {
         this.server.closeAllConnections();
     }
 
-    /** Applies the operator's limits; a shorter idle limit spares callers who still go by the longer one. */
+    /** Applies the configured limits. The idle limit never shrinks, because connected callers may still rely on the longer one. */
     private applyLimits(limits: CallerLimits): void {
-        const longestIdle = this.parts.configuration.getTable() === undefined ? 0 : this.limits.idleTimeout;
+        const longestIdle = this.dependencies.configuration.getTable() === undefined ? 0 : this.limits.idleTimeout;
         this.limits = { ...limits, idleTimeout: Math.max(limits.idleTimeout, longestIdle) };
         this.server.keepAliveTimeout = this.limits.idleTimeout + idleMarginMilliseconds;
         this.server.headersTimeout = limits.headerTimeout + idleMarginMilliseconds;
     }
 
     private async serveRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
-        const { clock, configuration } = this.parts;
+        const { clock, configuration } = this.dependencies;
         const arrivedAt = clock.getMonotonicTime();
-        const caller = CallerAnswer.create(response, () => this.isStopping);
+        const caller = CallerResponse.create(response, () => this.isStopping);
         this.openCalls += 1;
         response.once("close", () => {
             this.openCalls -= 1;
@@ -120,7 +121,7 @@
             this.rejectCall(request, caller, Failure.create(Verdict.NotRun, Diagnostics.Configuration_is_not_loaded));
             return;
         }
-        const call = this.parts.reader.readCall(request, body, arrivedAt, table);
+        const call = this.dependencies.reader.readCall(request, body, arrivedAt, table);
         if (call.err) {
             this.rejectCall(request, caller, call.val);
             return;
@@ -128,29 +129,29 @@
         await this.serveCall(call.val, caller);
     }
 
-    private async serveCall(call: IncomingCall, caller: CallerAnswer): Promise<void> {
-        const overCap = this.takeUsage(call);
-        if (overCap !== undefined) {
+    private async serveCall(call: IncomingCall, caller: CallerResponse): Promise<void> {
+        const capRefusal = this.takeUsage(call);
+        if (capRefusal !== undefined) {
             this.finishCall(call, caller, {
                 outcome: CallOutcome.Refused,
-                failure: overCap,
+                failure: capRefusal,
                 sends: 0,
                 endpoint: undefined,
                 firstByteAt: undefined,
             });
             return;
         }
-        const report = await this.parts.forwarder.forwardCall(call, caller);
+        const report = await this.dependencies.forwarder.forwardCall(call, caller);
         this.finishCall(call, caller, report);
     }
 
-    /** Reads the whole body; undefined when the caller left, a failure when it is too large. */
+    /** Reads the whole body; returns undefined when the caller disconnected, and a failure when the body is too large. */
     private async readBody(request: IncomingMessage): Promise<CallBody | Failure | undefined> {
         const limit = this.limits.bodyBytes;
         const createTooLarge = () => Failure.create(Verdict.NotRun, Diagnostics.Body_is_larger_than_0_bytes, limit);
-        const stated = request.headers["content-length"];
-        const isPresent = stated !== undefined || request.headers["transfer-encoding"] !== undefined;
-        if (Number(stated ?? 0) > limit) {
+        const contentLength = request.headers["content-length"];
+        const isPresent = contentLength !== undefined || request.headers["transfer-encoding"] !== undefined;
+        if (Number(contentLength ?? 0) > limit) {
             return createTooLarge();
         }
         if (!isPresent) {
@@ -169,20 +170,20 @@
             }
         }
         catch {
-            // The caller left in the middle of its body: there is nobody to answer.
+            // The caller disconnected while sending its body, so no response can be sent.
             return undefined;
         }
         return { bytes: chunks.length === 1 ? chunks[0] as Buffer : Buffer.concat(chunks), isPresent };
     }
 
-    /** Takes what a call uses of its team's cap; returns the refusal when there is too little left. */
+    /** Takes the usage of a call from its team's cap; returns the refusal when too little is left. */
     private takeUsage(call: IncomingCall): Failure | undefined {
         const { team } = call;
         if (team === undefined || team.rate === 0) {
             return undefined;
         }
-        const units = countUnits(call);
-        const refusal = this.parts.caps.takeUnits(team, units, units);
+        const units = countUsageUnits(call);
+        const refusal = this.dependencies.caps.takeUnits(team, units, units);
         if (refusal === undefined) {
             return undefined;
         }
@@ -191,46 +192,46 @@
         return Failure.create(Verdict.NotRun, message, team.name, units, Math.round(passed), Math.round(allowed)).setRetryAfter(wait);
     }
 
-    private rejectCall(request: IncomingMessage, caller: CallerAnswer, failure: Failure): void {
-        const { parts } = this;
+    private rejectCall(request: IncomingMessage, caller: CallerResponse, failure: Failure): void {
+        const { dependencies } = this;
         const isRefusal = failure.message.status === Diagnostics.Configuration_is_not_loaded.status;
         const outcome = isRefusal ? CallOutcome.Refused : CallOutcome.Rejected;
-        caller.sendFailure(failure, isRefusal ? 1 : undefined, parts.retryAfterHeader);
-        parts.metrics.calls.inc({ service: "", outcome, cause: String(failure.message.code) });
-        parts.log.log(LogEvents.RequestRefused, {
+        caller.sendFailure(failure, isRefusal ? 1 : undefined, dependencies.retryAfterHeader);
+        dependencies.metrics.calls.inc({ service: "", outcome, cause: String(failure.message.code) });
+        dependencies.log.log(LogEvents.RequestRefused, {
             outcome,
             status: failure.message.status,
             cause: failure.text,
             host: request.headers.host,
-            configuration: parts.configuration.getVersion(),
+            configuration: dependencies.configuration.getVersion(),
         });
     }
 
-    private finishCall(call: IncomingCall, caller: CallerAnswer, report: CallReport): void {
-        const { parts } = this;
+    private finishCall(call: IncomingCall, caller: CallerResponse, report: CallReport): void {
+        const { dependencies } = this;
         const { failure, outcome } = report;
-        if (outcome === CallOutcome.Broken) {
-            caller.abortAnswer();
+        if (outcome === CallOutcome.Interrupted) {
+            caller.abortResponse();
         }
         else if (failure !== undefined) {
-            const timeLeft = call.deadline - parts.clock.getMonotonicTime();
+            const timeLeft = call.deadline - dependencies.clock.getMonotonicTime();
             const retryAfter = failure.verdict === Verdict.NotRun ? chooseRetryAfter(failure, timeLeft) : undefined;
-            caller.sendFailure(failure, retryAfter, parts.retryAfterHeader);
+            caller.sendFailure(failure, retryAfter, dependencies.retryAfterHeader);
         }
         this.recordCall(call, report);
     }
 
     private recordCall(call: IncomingCall, report: CallReport): void {
-        const { parts } = this;
+        const { dependencies } = this;
         const { failure, outcome } = report;
         call.span.end(failure?.text);
-        const time = parts.clock.getMonotonicTime() - call.arrivedAt;
+        const time = dependencies.clock.getMonotonicTime() - call.arrivedAt;
         const firstByte = (report.firstByteAt ?? call.arrivedAt + time) - call.arrivedAt;
         const cause = failure === undefined ? "" : String(failure.message.code);
-        parts.metrics.calls.inc({ service: call.service, outcome, cause });
-        parts.metrics.duration.observe({ route: call.route.name, outcome }, time / millisecondsPerSecond);
-        parts.metrics.firstByte.observe({ route: call.route.name }, firstByte / millisecondsPerSecond);
-        parts.log.log(chooseLogEvent(outcome), {
+        dependencies.metrics.calls.inc({ service: call.service, outcome, cause });
+        dependencies.metrics.duration.observe({ route: call.route.name, outcome }, time / millisecondsPerSecond);
+        dependencies.metrics.firstByte.observe({ route: call.route.name }, firstByte / millisecondsPerSecond);
+        dependencies.log.log(chooseLogEvent(outcome), {
             request: call.id,
             route: call.route.name,
             service: call.service,
@@ -243,13 +244,13 @@
             milliseconds: Math.round(time),
             firstByte: Math.round(firstByte),
             timeLeft: Math.round(call.deadline - call.arrivedAt),
-            configuration: parts.configuration.getVersion(),
+            configuration: dependencies.configuration.getVersion(),
         });
     }
 }
 
-/** Returns what a call uses of its team's cap, in the team's unit. */
-export function countUnits(call: IncomingCall): number {
+/** Returns the usage of a call that counts against its team's cap, in the team's unit. */
+export function countUsageUnits(call: IncomingCall): number {
     if (call.team?.unit !== UsageUnit.Tokens) {
         return 1;
     }
@@ -258,14 +259,14 @@
 
 function chooseLogEvent(outcome: CallOutcome) {
     switch (outcome) {
-        case CallOutcome.Answered:
-        case CallOutcome.CallerLeft:
+        case CallOutcome.Completed:
+        case CallOutcome.CallerDisconnected:
             return LogEvents.RequestServed;
         case CallOutcome.Refused:
         case CallOutcome.Rejected:
             return LogEvents.RequestRefused;
         case CallOutcome.Failed:
-        case CallOutcome.Broken:
+        case CallOutcome.Interrupted:
             return LogEvents.RequestFailed;
     }
 }
--- a/src/gateway/hopTracing.ts
+++ b/src/gateway/hopTracing.ts
@@ -1,30 +1,30 @@
 import { IncomingMessage } from "node:http";
 import { TraceHeaders } from "../common/tracing.js";
 
-/** The span of one hop to an endpoint. */
+/** Span of one request from the node to an endpoint. */
 export interface HopSpan {
-    /** Returns the headers that carry its context to the endpoint. */
+    /** Returns the headers that propagate the span's context to the endpoint. */
     createHeaders(): TraceHeaders;
-    /** Ends it, with the failure if there was one. */
+    /** Ends the span, with the text of the failure if there was one. */
     end(failure: string | undefined): void;
 }
 
-/** The span of one call. */
+/** Span of one call, the parent of its hops. */
 export interface CallSpan {
     startHop(endpoint: string): HopSpan;
     end(failure: string | undefined): void;
 }
 
-/** Creates a span for each call and for each hop below it. */
+/** Creates a span for each call and a child span for each hop to an endpoint. */
 export interface HopTracing {
     startCall(request: IncomingMessage, route: string): CallSpan;
     stop(): Promise<void>;
 }
 
-const noHop: HopSpan = { createHeaders: () => ({}), end: () => {} };
-const noCall: CallSpan = { startHop: () => noHop, end: () => {} };
+const noopHopSpan: HopSpan = { createHeaders: () => ({}), end: () => {} };
+const noopCallSpan: CallSpan = { startHop: () => noopHopSpan, end: () => {} };
 
-/** Where no collector is set: no spans, at no cost. The caller's own trace context goes on to the endpoint unchanged. */
+/** Tracing without a collector: creates no spans, at no cost. The caller's trace context is forwarded to the endpoint unchanged. */
 export class NoTracing implements HopTracing {
     private constructor() {}
 
@@ -33,7 +33,7 @@
     }
 
     startCall(): CallSpan {
-        return noCall;
+        return noopCallSpan;
     }
 
     async stop(): Promise<void> {}
--- a/src/gateway/retryAfter.ts
+++ b/src/gateway/retryAfter.ts
@@ -1,16 +1,16 @@
 import { Failure } from "../common/failure.js";
 import { millisecondsPerSecond } from "../common/units.js";
 
-/** Part of its time left that a caller waits at most before it comes back: later it has too little left to be served. */
-const longestShareOfTimeLeft = 0.3;
-/** Wait where nothing says how long the cause will last, in milliseconds: load is told between nodes twice a second. */
+/** Largest fraction of the caller's remaining time to wait before a retry; after a longer wait too little time is left to serve it. */
+const maximumShareOfTimeLeft = 0.3;
+/** Wait when the duration of the cause is unknown; nodes exchange their load twice a second. */
 const defaultWaitMilliseconds = 400;
-/** Least wait, in milliseconds: an earlier return meets the same load. */
-const leastWaitMilliseconds = 50;
+/** Shortest wait; an earlier retry would encounter the same load. */
+const minimumWaitMilliseconds = 50;
 
-/** Returns the seconds after which a refused caller should come back, so that it is likely to be served then. */
+/** Returns the number of seconds after which a refused caller's retry is likely to be served. `timeLeft` is in milliseconds. */
 export function chooseRetryAfter(failure: Failure, timeLeft: number): number {
-    const wanted = failure.retryAfterSeconds === undefined ? defaultWaitMilliseconds : failure.retryAfterSeconds * millisecondsPerSecond;
-    const longest = Math.max(leastWaitMilliseconds, timeLeft * longestShareOfTimeLeft);
-    return Math.min(Math.max(wanted, leastWaitMilliseconds), longest) / millisecondsPerSecond;
+    const requested = failure.retryAfterSeconds === undefined ? defaultWaitMilliseconds : failure.retryAfterSeconds * millisecondsPerSecond;
+    const maximum = Math.max(minimumWaitMilliseconds, timeLeft * maximumShareOfTimeLeft);
+    return Math.min(Math.max(requested, minimumWaitMilliseconds), maximum) / millisecondsPerSecond;
 }
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -9,64 +9,64 @@
 import { Route, RoutedTeam } from "../routes/types.js";
 import { VersionMoves } from "../versions/versionMoves.js";
 import { EventStreamRelay } from "./answerRelay.js";
-import { CallerAnswer } from "./callerAnswer.js";
+import { CallerResponse } from "./callerAnswer.js";
 import { CallProtocol } from "./callProtocol.js";
 import { CrashWatch } from "./crashWatch.js";
 import { EndpointConnections } from "./endpointConnections.js";
 import { HeaderForwarder } from "./forwardedHeaders.js";
 import { CallSpan } from "./hopTracing.js";
 
-/** A request that a caller has sent in full. Times are monotonic milliseconds. */
+/** A completely received request of a caller. Times are monotonic milliseconds. */
 export interface IncomingCall {
-    /** The caller's own id of this attempt. */
+    /** The caller's id of this attempt. */
     readonly id: string;
     readonly method: string;
     readonly target: string;
-    /** Names and values as they came, one after the other. */
+    /** Alternating names and values as received. */
     readonly rawHeaders: readonly string[];
     readonly body: Buffer;
     readonly hasBody: boolean;
     readonly route: Route;
     readonly service: string;
     readonly team: RoutedTeam | undefined;
-    /** The team's priority, or else the route's; 0 is the most urgent. */
+    /** Priority of the team, or else of the route; 0 is the most urgent. */
     readonly rank: number;
-    /** Whether the deployment's callers use keys, which are not for endpoints. */
-    readonly isKeyed: boolean;
-    /** Returns what is the same for every request with this team, target and body, on every node. It is computed when first asked for. */
+    /** Whether callers authenticate with team keys; the keys are not forwarded to endpoints. */
+    readonly usesTeamKeys: boolean;
+    /** Returns a hash of the team, method, target and body, which is the same on all nodes. Computed at the first use. */
     getFingerprint(): string;
     readonly prompt: PromptShape | undefined;
     readonly lastEventId: string | undefined;
     readonly span: CallSpan;
     readonly arrivedAt: number;
-    /** When the caller or the route stops waiting, whichever is earlier. */
+    /** Time at which the caller's or the route's time limit expires, whichever is earlier. */
     readonly deadline: number;
 }
 
-/** How a call ended, for logs and metrics. */
+/** Outcome of a call, for logs and metrics. */
 export enum CallOutcome {
-    /** The endpoint's answer was passed on whole. */
-    Answered = "answered",
-    /** The node refused it; it has not run and will not. */
+    /** The endpoint's complete response was relayed. */
+    Completed = "answered",
+    /** The node refused the call; it has not run and will not run. */
     Refused = "refused",
-    /** The caller's own fault: not allowed, not known, not readable. */
+    /** The call is unauthorized, malformed or too large, or its path is not served. */
     Rejected = "rejected",
-    /** It failed and may have run. */
+    /** The call failed and may have run. */
     Failed = "failed",
-    /** An answer that had begun was broken off. */
-    Broken = "broken",
-    CallerLeft = "caller-left",
+    /** The response was interrupted after it had started. */
+    Interrupted = "broken",
+    CallerDisconnected = "caller-left",
 }
 
-/** Waits of an attempt, in milliseconds. */
+/** Time limits of an attempt, in milliseconds. */
 export interface AttemptTiming {
-    /** Longest wait for a connection. */
+    /** Longest time to establish a connection. */
     readonly connectTimeout: number;
-    /** Silence of an endpoint on all connections after which work that may be repeated goes on elsewhere. */
+    /** Time without data from an endpoint, on all its connections, after which retryable calls move to another endpoint. */
     readonly endpointSilence: number;
 }
 
-/** What attempts work with. */
+/** Dependencies of call attempts. */
 export interface CallAttemptParts {
     readonly clock: Clock;
     readonly protocol: CallProtocol;
@@ -81,25 +81,25 @@
     readonly timing: AttemptTiming;
 }
 
-/** One attempt of a call. Times are monotonic milliseconds. */
+/** Options of one attempt of a call. Times are monotonic milliseconds. */
 export interface AttemptOptions {
     readonly call: IncomingCall;
-    readonly caller: CallerAnswer;
+    readonly caller: CallerResponse;
     readonly placement: Placement;
     readonly deadline: number;
     readonly lastEventId: string | undefined;
-    /** The relay of the call's event stream; undefined for other calls. */
+    /** Relay of the call's event stream; undefined for calls that are not streams. */
     readonly stream: EventStreamRelay | undefined;
-    /** Whether a failure may be followed by another run. */
-    readonly mayRunAgain: boolean;
+    /** Whether the call may run again if this attempt fails after it may have run. */
+    readonly mayRetry: boolean;
 }
 
-/** How an attempt ended; without a failure the whole answer has reached the caller. */
-export interface AttemptEnd {
+/** Result of an attempt; without a failure, the complete response was written to the caller. */
+export interface AttemptResult {
     readonly failure: Failure | undefined;
-    /** Whether the deadline ended it. */
-    readonly isLate: boolean;
+    /** Whether the attempt was aborted at its deadline. */
+    readonly isPastDeadline: boolean;
     /** Whether the request may have reached the endpoint. */
-    readonly hasArrived: boolean;
+    readonly mayHaveArrived: boolean;
     readonly sentAt: number;
 }
