--- a/src/callers/authentication.ts
+++ b/src/callers/authentication.ts
@@ -8,7 +8,7 @@
 
 const bearerPattern = /^Bearer ([!-~]{1,512})$/i;
 
-/** Returns the team that a request's bearer token names. */
+/** Returns the team that owns the request's bearer token. Fails when no configuration is loaded, or the token is missing or unknown. */
 export function authenticateTeam(request: Request, configuration: ConfigurationSet): Result<TeamDeclaration, Failure> {
     if (!configuration.hasConfiguration()) {
         return Err(Failure.create(Verdict.NotRun, Diagnostics.Configuration_is_not_loaded));
@@ -25,7 +25,7 @@
     return Ok(team);
 }
 
-/** Returns a service that a team may call. */
+/** Returns the service if it is declared with the given kind and the team owns it or is listed among its callers; fails otherwise. */
 export function findCallableService(
     configuration: ConfigurationSet,
     team: TeamDeclaration,
--- a/src/callers/callerInterface.test.ts
+++ b/src/callers/callerInterface.test.ts
@@ -39,10 +39,10 @@
     return { status: response.status, verdict: problem.verdict, code: problem.error.code };
 }
 
-test("an unmodified OpenAI client gets completions and chats, whole and streamed, and the list of models", async () => {
+test("an unmodified OpenAI client can run completions, stream chat completions and list models", async () => {
     const client = new OpenAI({ apiKey: createTestToken("desk"), baseURL: `${deployment.getCallerUrl()}/v1` });
-    const whole = await client.completions.create({ model: "lookup", prompt: "¿Lote 9?", max_tokens: 7 });
-    assert.equal(whole.choices[0]?.text, generateAnswer("¿Lote 9?", 7));
+    const completion = await client.completions.create({ model: "lookup", prompt: "¿Lote 9?", max_tokens: 7 });
+    assert.equal(completion.choices[0]?.text, generateAnswer("¿Lote 9?", 7));
     let streamed = "";
     const stream = await client.chat.completions.create({
         model: "lookup",
@@ -62,22 +62,31 @@
     );
 });
 
-test("every malformed request gets a clear 4xx that says it was not run", async () => {
-    const good = JSON.stringify({ model: "lookup", prompt: "x", max_tokens: 2 });
+test("a malformed or unauthorized request gets a 4xx problem response with verdict NotRun", async () => {
+    const validBody = JSON.stringify({ model: "lookup", prompt: "x", max_tokens: 2 });
     const cases: [string, Problem][] = [
         ["truncated JSON", await sendPost("/v1/completions", "{\"model\": \"lookup\", \"prom")],
         ["invalid UTF-8", await sendPost("/v1/completions", Uint8Array.from([0x7b, 0x22, 0xff, 0xfe, 0x22, 0x7d]))],
-        ["no prompt", await sendPost("/v1/completions", "{\"model\": \"lookup\"}")],
-        ["several answers", await sendPost("/v1/completions", "{\"model\": \"lookup\", \"prompt\": \"x\", \"n\": 3}")],
+        ["missing prompt", await sendPost("/v1/completions", "{\"model\": \"lookup\"}")],
+        ["several choices", await sendPost("/v1/completions", "{\"model\": \"lookup\", \"prompt\": \"x\", \"n\": 3}")],
         ["unknown service", await sendPost("/v1/completions", "{\"model\": \"nothing\", \"prompt\": \"x\"}")],
         ["plain service as a model", await sendPost("/v1/completions", "{\"model\": \"records\", \"prompt\": \"x\"}")],
-        ["missing token", await sendPost("/v1/completions", good, { "content-type": "application/json" })],
-        ["wrong token", await sendPost("/v1/completions", good, { "authorization": "Bearer wrong", "content-type": "application/json" })],
-        ["another team's service", await sendPost("/v1/completions", good, createCallerHeaders("shops"))],
-        ["bad timeout", await sendPost("/v1/completions", good, { ...createCallerHeaders(), "x-request-timeout-seconds": "soon" })],
-        ["missing key", await sendPost("/services/voucher/issue", "{}")],
-        ["bad key", await sendPost("/services/voucher/issue", "{}", { ...createCallerHeaders(), "idempotency-key": "a b" })],
-        ["unknown path", await sendPost("/v2/completions", good)],
+        ["missing token", await sendPost("/v1/completions", validBody, { "content-type": "application/json" })],
+        [
+            "wrong token",
+            await sendPost("/v1/completions", validBody, { "authorization": "Bearer wrong", "content-type": "application/json" }),
+        ],
+        ["another team's service", await sendPost("/v1/completions", validBody, createCallerHeaders("shops"))],
+        [
+            "malformed timeout",
+            await sendPost("/v1/completions", validBody, { ...createCallerHeaders(), "x-request-timeout-seconds": "soon" }),
+        ],
+        ["missing idempotency key", await sendPost("/services/voucher/issue", "{}")],
+        [
+            "malformed idempotency key",
+            await sendPost("/services/voucher/issue", "{}", { ...createCallerHeaders(), "idempotency-key": "a b" }),
+        ],
+        ["unknown path", await sendPost("/v2/completions", validBody)],
     ];
     for (const [name, problem] of cases) {
         assert.ok(problem.status >= 400 && problem.status < 500, `${name}: ${problem.status}`);
@@ -88,9 +97,9 @@
     assert.equal(cases[1]?.[1].code, "CW2015");
 });
 
-test("a body of 50 MB is refused, and the node goes on serving", async () => {
+test("a 50 MB body is rejected with 413 and the node keeps serving", async () => {
     const status = await new Promise<number>((resolve, reject) => {
-        const sent = request(
+        const upload = request(
             `${deployment.getCallerUrl()}/v1/completions`,
             { method: "POST", headers: createCallerHeaders() },
             response => {
@@ -98,16 +107,16 @@
                 resolve(response.statusCode ?? 0);
             },
         );
-        sent.on("error", reject);
-        sent.write(Buffer.alloc(50_000_000, "x"));
-        sent.end();
+        upload.on("error", reject);
+        upload.write(Buffer.alloc(50_000_000, "x"));
+        upload.end();
     });
     assert.equal(status, 413);
-    const answer = await sendCompletion([deployment.getCallerUrl()], "lookup", "¿Sigue?", 3);
-    assert.equal(answer.text, generateAnswer("¿Sigue?", 3));
+    const completion = await sendCompletion([deployment.getCallerUrl()], "lookup", "¿Sigue?", 3);
+    assert.equal(completion.text, generateAnswer("¿Sigue?", 3));
 });
 
-test("a request's spans form one trace, with a span for each hop, below the caller's", async () => {
+test("a request has one span per hop, all in the caller's trace and below its span", async () => {
     const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     await fetch(`${deployment.getCallerUrl()}/services/voucher/issue`, {
         method: "POST",
@@ -122,17 +131,17 @@
     assert.ok(spans.filter(span => span !== root).every(span => span.parentSpanContext?.spanId === root?.spanContext().spanId));
 });
 
-test("operators need their token, and callers' tokens do not serve", async () => {
+test("the operator interface rejects a missing token and a caller's token, and /healthz needs no token", async () => {
     const url = `${deployment.getOperatorUrl()}/v1/status`;
     assert.equal((await fetch(url)).status, 401);
     assert.equal((await fetch(url, { headers: createCallerHeaders() })).status, 401);
     assert.equal((await fetch(`${deployment.getOperatorUrl()}/healthz`)).status, 200);
 });
 
-test("a request of another team cannot be read", async () => {
-    const answer = await sendCompletion([deployment.getCallerUrl()], "lookup", "Mío", 3);
-    const read = (team: string) =>
-        fetch(`${deployment.getCallerUrl()}/v1/requests/${answer.requestId}`, { headers: createCallerHeaders(team) });
-    assert.equal((await read("shops")).status, 404);
-    assert.equal((await read("desk")).status, 200);
+test("a team cannot read another team's request", async () => {
+    const completion = await sendCompletion([deployment.getCallerUrl()], "lookup", "Mío", 3);
+    const fetchRequest = (team: string) =>
+        fetch(`${deployment.getCallerUrl()}/v1/requests/${completion.requestId}`, { headers: createCallerHeaders(team) });
+    assert.equal((await fetchRequest("shops")).status, 404);
+    assert.equal((await fetchRequest("desk")).status, 200);
 });
--- a/src/callers/callerServer.ts
+++ b/src/callers/callerServer.ts
@@ -14,9 +14,9 @@
 import { sendProblem } from "./problem.js";
 import { serveModels } from "./queries/serveModels.js";
 import { serveRequestById } from "./queries/serveRequestById.js";
-import { CallerParts } from "./types.js";
+import { CallerDependencies } from "./types.js";
 
-/** Idle time after which the system asks whether a caller is still there, in milliseconds. */
+/** Idle time of a connection before the first TCP keep-alive probe, in milliseconds. */
 const keepAliveProbeMilliseconds = 5_000;
 const idleConnectionMilliseconds = 5_000;
 const headerTimeoutMilliseconds = 10_000;
@@ -25,13 +25,13 @@
 const completionInterface: CompletionInterface = { isChat: false, parseBody: parseCompletionBody, createFormat: createCompletionFormat };
 const chatInterface: CompletionInterface = { isChat: true, parseBody: parseChatBody, createFormat: createChatFormat };
 
-/** Listens for callers. */
+/** HTTP server for callers. Serves the OpenAI-compatible interfaces, calls of plain services and lookups of requests by id. */
 export class CallerServer {
     private readonly server: Server;
     private readonly sockets = new Set<Socket>();
 
-    private constructor(parts: CallerParts) {
-        this.server = createServer({ maxHeaderSize: parts.limits.headerBytes }, createCallerApp(parts));
+    private constructor(dependencies: CallerDependencies) {
+        this.server = createServer({ maxHeaderSize: dependencies.limits.headerBytes }, createCallerApp(dependencies));
         this.server.keepAliveTimeout = idleConnectionMilliseconds;
         this.server.headersTimeout = headerTimeoutMilliseconds;
         this.server.requestTimeout = bodyTimeoutMilliseconds;
@@ -43,49 +43,49 @@
         });
     }
 
-    static create(parts: CallerParts): CallerServer {
-        return new CallerServer(parts);
+    static create(dependencies: CallerDependencies): CallerServer {
+        return new CallerServer(dependencies);
     }
 
-    /** Starts listening; returns the address, whose port is a free one when 0 was asked for. */
+    /** Starts listening and returns the bound address. Port 0 binds a free port. */
     async start(address: NetworkAddress): Promise<NetworkAddress> {
         return startListening(this.server, address);
     }
 
-    /** Accepts no more connections; those with open requests go on. */
+    /** Stops accepting connections and closes idle ones. Connections with open requests stay open. */
     async stopAccepting(): Promise<void> {
         this.server.close();
         this.server.closeIdleConnections();
     }
 
-    /** Ends every connection. */
+    /** Destroys every connection, including those with open requests. */
     closeConnections(): void {
         this.sockets.forEach(socket => socket.destroy());
     }
 }
 
-function createCallerApp(parts: CallerParts): express.Express {
+function createCallerApp(dependencies: CallerDependencies): express.Express {
     const app = express();
     app.disable("x-powered-by");
     app.disable("etag");
-    app.use((_request, response, next) => checkOpenRequests(parts, response, next));
-    const readBody = express.raw({ type: () => true, limit: parts.limits.bodyBytes, inflate: false });
-    app.post("/v1/completions", readBody, (request, response) => serveCompletion(parts, completionInterface, request, response));
-    app.post("/v1/chat/completions", readBody, (request, response) => serveCompletion(parts, chatInterface, request, response));
-    app.get("/v1/models", (request, response) => serveModels(parts, request, response));
-    app.get("/v1/requests/:id", (request, response) => serveRequestById(parts, request, response));
-    app.all("/services/:service/{*path}", readBody, (request, response) => serveCall(parts, request, response));
+    app.use((_request, response, next) => checkOpenRequests(dependencies, response, next));
+    const readBody = express.raw({ type: () => true, limit: dependencies.limits.bodyBytes, inflate: false });
+    app.post("/v1/completions", readBody, (request, response) => serveCompletion(dependencies, completionInterface, request, response));
+    app.post("/v1/chat/completions", readBody, (request, response) => serveCompletion(dependencies, chatInterface, request, response));
+    app.get("/v1/models", (request, response) => serveModels(dependencies, request, response));
+    app.get("/v1/requests/:id", (request, response) => serveRequestById(dependencies, request, response));
+    app.all("/services/:service/{*path}", readBody, (request, response) => serveCall(dependencies, request, response));
     app.use((request, response) => {
         sendProblem(response, Failure.create(Verdict.NotRun, Diagnostics.Path_0_is_not_served, request.path), createIdentifier());
     });
     app.use((error: unknown, _request: Request, response: Response, next: NextFunction) => {
-        handleError(parts, error, response, next);
+        handleError(dependencies, error, response, next);
     });
     return app;
 }
 
-function checkOpenRequests(parts: CallerParts, response: Response, next: NextFunction): void {
-    if (parts.table.countActive() >= parts.limits.openRequests) {
+function checkOpenRequests(dependencies: CallerDependencies, response: Response, next: NextFunction): void {
+    if (dependencies.table.countActive() >= dependencies.limits.openRequests) {
         const failure = Failure.create(Verdict.NotRun, Diagnostics.Queue_of_service_0_is_full, "*");
         sendProblem(response, failure.setRetryAfter(1), createIdentifier());
         return;
@@ -93,8 +93,8 @@
     next();
 }
 
-/** Answers errors of reading the body. Everything else is a broken invariant, whose request may have run. */
-function handleError(parts: CallerParts, error: unknown, response: Response, next: NextFunction): void {
+/** Sends the error response for a body that cannot be read. Any other error is an internal fault, and the request may have run. */
+function handleError(dependencies: CallerDependencies, error: unknown, response: Response, next: NextFunction): void {
     if (response.headersSent) {
         next(error);
         return;
@@ -105,7 +105,7 @@
         response.setHeader("connection", "close");
         sendProblem(
             response,
-            Failure.create(Verdict.NotRun, Diagnostics.Body_is_larger_than_0_bytes, parts.limits.bodyBytes),
+            Failure.create(Verdict.NotRun, Diagnostics.Body_is_larger_than_0_bytes, dependencies.limits.bodyBytes),
             createIdentifier(),
         );
         return;
--- a/src/callers/commands/serveCall.ts
+++ b/src/callers/commands/serveCall.ts
@@ -10,39 +10,40 @@
 import { RequestHistory } from "../../requests/requestRecord.js";
 import { PlainRequest, RequestOutcome } from "../../requests/types.js";
 import { authenticateTeam, findCallableService } from "../authentication.js";
-import { AnswerHeader, sendProblem, setAnswerHeaders } from "../problem.js";
+import { ResponseHeader, sendProblem, setResponseHeaders } from "../problem.js";
 import { readDeadline, readIdempotencyKey } from "../requestHeaders.js";
-import { CallerParts } from "../types.js";
+import { CallerDependencies } from "../types.js";
 
 const allowedMethods: ReadonlySet<string> = new Set(["GET", "POST", "PUT", "PATCH", "DELETE"]);
 
+/** A call that passed all checks, with the service that it calls. */
 interface AcceptedCall {
     readonly request: PlainRequest;
     readonly service: ServiceDeclaration;
 }
 
-/** Serves one call of a plain service. */
-export async function serveCall(parts: CallerParts, request: Request, response: Response): Promise<void> {
+/** Handles a call of a plain service: checks it, runs it and sends the service's response or an error. */
+export async function serveCall(dependencies: CallerDependencies, request: Request, response: Response): Promise<void> {
     const requestId = createIdentifier();
-    const accepted = acceptCall(parts, requestId, request);
+    const accepted = acceptCall(dependencies, requestId, request);
     if (accepted.err) {
         sendProblem(response, accepted.val, requestId);
         return;
     }
     const { request: call, service } = accepted.val;
     const history = RequestHistory.create();
-    const span = parts.tracing.startSpanFromHeaders("caller request", readTraceHeaders(request.headers));
+    const span = dependencies.tracing.startSpanFromHeaders("caller request", readTraceHeaders(request.headers));
     span.setAttributes({ "corianderward.request": requestId, "corianderward.service": service.name, "corianderward.team": call.team });
-    const closed = new AbortController();
+    const disconnectController = new AbortController();
     if (service.idempotent) {
-        // A call that may not be repeated goes on without its caller, so that its outcome is stored.
-        response.on("close", () => closed.abort());
+        // Only an idempotent call is canceled when its caller disconnects; any other call continues so that its outcome is stored.
+        response.on("close", () => disconnectController.abort());
     }
-    const result = await parts.plainCalls.runCall(call, service, history, span, closed.signal);
+    const result = await dependencies.plainCalls.runCall(call, service, history, span, disconnectController.signal);
     const verdict = result.ok ? Verdict.Ran : result.val.verdict;
     const outcome = result.ok ? RequestOutcome.Finished : verdict === Verdict.NotRun ? RequestOutcome.Refused : RequestOutcome.Failed;
     history.verdict = verdict;
-    recordCall(parts, call, history, outcome, result.ok ? "" : result.val.text);
+    recordCall(dependencies, call, history, outcome, result.ok ? "" : result.val.text);
     span.setAttributes({ "corianderward.attempts": history.attempts.length, "corianderward.verdict": verdict });
     span.end();
     if (result.err) {
@@ -50,9 +51,9 @@
         return;
     }
     const { answer, isReplayed } = result.val;
-    setAnswerHeaders(response, requestId, verdict, history.attempts.length);
+    setResponseHeaders(response, requestId, verdict, history.attempts.length);
     if (isReplayed) {
-        response.setHeader(AnswerHeader.Replayed, "true");
+        response.setHeader(ResponseHeader.Replayed, "true");
     }
     if (answer.contentType !== undefined) {
         response.setHeader("content-type", answer.contentType);
@@ -60,9 +61,15 @@
     response.status(answer.status).end(answer.body);
 }
 
-function recordCall(parts: CallerParts, call: PlainRequest, history: RequestHistory, outcome: RequestOutcome, text: string): void {
-    parts.metrics.requests.inc({ service: call.service, team: call.team, outcome, verdict: history.verdict });
-    parts.table.addExplanation({
+function recordCall(
+    dependencies: CallerDependencies,
+    call: PlainRequest,
+    history: RequestHistory,
+    outcome: RequestOutcome,
+    text: string,
+): void {
+    dependencies.metrics.requests.inc({ service: call.service, team: call.team, outcome, verdict: history.verdict });
+    dependencies.table.addExplanation({
         id: call.id,
         team: call.team,
         service: call.service,
@@ -76,32 +83,32 @@
     });
 }
 
-function acceptCall(parts: CallerParts, requestId: string, request: Request): Result<AcceptedCall, Failure> {
-    const team = authenticateTeam(request, parts.configuration);
+function acceptCall(dependencies: CallerDependencies, requestId: string, request: Request): Result<AcceptedCall, Failure> {
+    const team = authenticateTeam(request, dependencies.configuration);
     if (team.err) {
         return team;
     }
-    if (!parts.gate.isAccepting()) {
+    if (!dependencies.gate.isAccepting()) {
         return Err(Failure.create(Verdict.NotRun, Diagnostics.Node_is_shutting_down));
     }
     if (!allowedMethods.has(request.method)) {
         return Err(Failure.create(Verdict.NotRun, Diagnostics.Method_0_is_not_allowed, request.method));
     }
     const name = String(request.params["service"]);
-    const service = findCallableService(parts.configuration, team.val, name, ServiceKind.Plain);
+    const service = findCallableService(dependencies.configuration, team.val, name, ServiceKind.Plain);
     if (service.err) {
         return service;
     }
-    const now = parts.clock.getWallTime();
+    const now = dependencies.clock.getWallTime();
     const deadline = readDeadline(request, now, service.val.timeLimit);
     if (deadline.err) {
         return deadline;
     }
-    const key = readIdempotencyKey(request);
-    if (key.err) {
-        return key;
+    const idempotencyKey = readIdempotencyKey(request);
+    if (idempotencyKey.err) {
+        return idempotencyKey;
     }
-    const refusal = parts.limiter.takeRequest(team.val);
+    const refusal = dependencies.limiter.takeRequest(team.val);
     if (refusal !== undefined) {
         return Err(refusal);
     }
@@ -114,7 +121,7 @@
         method: request.method,
         path,
         contentType: request.headers["content-type"],
-        idempotencyKey: key.val,
+        idempotencyKey: idempotencyKey.val,
         body,
         deadline: deadline.val,
         arrivedAt: now,
--- a/src/callers/commands/serveCompletion.ts
+++ b/src/callers/commands/serveCompletion.ts
@@ -12,18 +12,19 @@
 import { authenticateTeam, findCallableService } from "../authentication.js";
 import { CompletionBody } from "../completionBody.js";
 import { EventFormat } from "../eventStream.js";
-import { sendProblem, setAnswerHeaders } from "../problem.js";
+import { sendProblem, setResponseHeaders } from "../problem.js";
 import { hasAsyncPreference, readDeadline } from "../requestHeaders.js";
-import { CallerParts } from "../types.js";
+import { CallerDependencies } from "../types.js";
 import { serveRecord } from "./serveRecord.js";
 
-/** Which of the two OpenAI interfaces a request uses. */
+/** Parsing and formatting that differ between the two OpenAI interfaces, completions and chat completions. */
 export interface CompletionInterface {
     readonly isChat: boolean;
     parseBody(body: Buffer): Result<CompletionBody, Failure>;
     createFormat(record: RequestRecord, includeUsage: boolean): EventFormat;
 }
 
+/** A completion body that passed all checks, with the team, service and deadline that apply to it. */
 interface AcceptedBody {
     readonly body: CompletionBody;
     readonly team: TeamDeclaration;
@@ -31,24 +32,29 @@
     readonly deadline: number;
 }
 
-/** Serves one completion: checks it, starts it, and streams or returns its answer. */
-export async function serveCompletion(parts: CallerParts, shape: CompletionInterface, request: Request, response: Response): Promise<void> {
+/** Handles a completion request: checks it, starts it and sends its response, or its URL if it is asynchronous. */
+export async function serveCompletion(
+    dependencies: CallerDependencies,
+    completionInterface: CompletionInterface,
+    request: Request,
+    response: Response,
+): Promise<void> {
     const requestId = createIdentifier();
-    const accepted = acceptBody(parts, shape, request);
+    const accepted = acceptBody(dependencies, completionInterface, request);
     if (accepted.err) {
         sendProblem(response, accepted.val, requestId);
         return;
     }
     const { body, service } = accepted.val;
-    const modelRequest = createModelRequest(parts, shape, requestId, accepted.val, request);
-    const span = parts.tracing.startSpanFromHeaders("caller request", readTraceHeaders(request.headers));
+    const modelRequest = createModelRequest(dependencies, completionInterface, requestId, accepted.val, request);
+    const span = dependencies.tracing.startSpanFromHeaders("caller request", readTraceHeaders(request.headers));
     span.setAttributes({
         "corianderward.request": requestId,
         "corianderward.service": service.name,
         "corianderward.team": modelRequest.team,
     });
     if (modelRequest.isAsync) {
-        const started = await parts.service.startDraft(modelRequest, service, span);
+        const started = await dependencies.service.startDraft(modelRequest, service, span);
         if (started.err) {
             sendProblem(response, started.val, requestId);
             return;
@@ -56,34 +62,38 @@
         sendAccepted(response, requestId);
         return;
     }
-    const record = parts.service.startRequest(modelRequest, service, span);
-    await serveRecord(parts, record, shape.createFormat(record, body.includeUsage), body.isStream, 0, response);
+    const record = dependencies.service.startRequest(modelRequest, service, span);
+    await serveRecord(dependencies, record, completionInterface.createFormat(record, body.includeUsage), body.isStream, 0, response);
 }
 
-function acceptBody(parts: CallerParts, shape: CompletionInterface, request: Request): Result<AcceptedBody, Failure> {
-    const team = authenticateTeam(request, parts.configuration);
+function acceptBody(
+    dependencies: CallerDependencies,
+    completionInterface: CompletionInterface,
+    request: Request,
+): Result<AcceptedBody, Failure> {
+    const team = authenticateTeam(request, dependencies.configuration);
     if (team.err) {
         return team;
     }
-    if (!parts.gate.isAccepting()) {
+    if (!dependencies.gate.isAccepting()) {
         return Err(Failure.create(Verdict.NotRun, Diagnostics.Node_is_shutting_down));
     }
-    const body = shape.parseBody(request.body as Buffer);
+    const body = completionInterface.parseBody(request.body as Buffer);
     if (body.err) {
         return body;
     }
-    const service = findCallableService(parts.configuration, team.val, body.val.service, ServiceKind.Model);
+    const service = findCallableService(dependencies.configuration, team.val, body.val.service, ServiceKind.Model);
     if (service.err) {
         return service;
     }
     if (hasAsyncPreference(request) && !service.val.acceptsAsync) {
         return Err(Failure.create(Verdict.NotRun, Diagnostics.Service_0_does_not_accept_asynchronous_requests, service.val.name));
     }
-    const deadline = readDeadline(request, parts.clock.getWallTime(), service.val.timeLimit);
+    const deadline = readDeadline(request, dependencies.clock.getWallTime(), service.val.timeLimit);
     if (deadline.err) {
         return deadline;
     }
-    const refusal = parts.limiter.takeRequest(team.val);
+    const refusal = dependencies.limiter.takeRequest(team.val);
     if (refusal !== undefined) {
         return Err(refusal);
     }
@@ -91,8 +101,8 @@
 }
 
 function createModelRequest(
-    parts: CallerParts,
-    shape: CompletionInterface,
+    dependencies: CallerDependencies,
+    completionInterface: CompletionInterface,
     id: string,
     accepted: AcceptedBody,
     request: Request,
@@ -102,11 +112,11 @@
         id,
         team: team.name,
         service: service.name,
-        isChat: shape.isChat,
+        isChat: completionInterface.isChat,
         prompt: body.prompt,
         maxTokens: Math.min(body.maxTokens, service.maxTokens),
         deadline: accepted.deadline,
-        arrivedAt: parts.clock.getWallTime(),
+        arrivedAt: dependencies.clock.getWallTime(),
         fingerprint: hashSha256(`${service.name}\n${body.prompt}`),
         isAsync: hasAsyncPreference(request),
         sampling: body.sampling,
@@ -114,7 +124,7 @@
 }
 
 function sendAccepted(response: Response, requestId: string): void {
-    setAnswerHeaders(response, requestId, Verdict.NotRun, 0);
+    setResponseHeaders(response, requestId, Verdict.NotRun, 0);
     response.setHeader("location", `/v1/requests/${requestId}`);
     response.setHeader("preference-applied", "respond-async");
     response.status(202).json({ id: requestId, status: "accepted", location: `/v1/requests/${requestId}` });
--- a/src/callers/commands/serveRecord.ts
+++ b/src/callers/commands/serveRecord.ts
@@ -5,48 +5,48 @@
 import { RequestRecord } from "../../requests/requestRecord.js";
 import { RequestEnd, RequestOutcome } from "../../requests/types.js";
 import { createUsage, EventFormat, EventStreamWriter } from "../eventStream.js";
-import { sendProblem, setAnswerHeaders } from "../problem.js";
-import { CallerParts } from "../types.js";
+import { sendProblem, setResponseHeaders } from "../problem.js";
+import { CallerDependencies } from "../types.js";
 
-/** Answers a caller from a record, as a stream of events or as one body. */
+/** Sends a record's response to a caller, as server-sent events from a token offset or as one body. */
 export async function serveRecord(
-    parts: CallerParts,
+    dependencies: CallerDependencies,
     record: RequestRecord,
     format: EventFormat,
     isStream: boolean,
     offset: number,
     response: Response,
 ): Promise<void> {
-    parts.service.addReader(record);
-    parts.metrics.openStreams.inc();
+    dependencies.service.addReader(record);
+    dependencies.metrics.openStreams.inc();
     try {
         if (isStream) {
-            await serveStream(parts, record, format, offset, response);
+            await serveStream(dependencies, record, format, offset, response);
         }
         else {
-            await serveWhole(record, response);
+            await serveUnstreamed(record, response);
         }
     }
     finally {
-        parts.metrics.openStreams.dec();
-        parts.service.removeReader(record);
+        dependencies.metrics.openStreams.dec();
+        dependencies.service.removeReader(record);
     }
 }
 
 async function serveStream(
-    parts: CallerParts,
+    dependencies: CallerDependencies,
     record: RequestRecord,
     format: EventFormat,
     offset: number,
     response: Response,
 ): Promise<void> {
     const writer = EventStreamWriter.create(response, record, format, offset);
-    const end = await writer.waitForFirst();
+    const end = await writer.waitForFirstToken();
     if (writer.isClosed()) {
         return;
     }
     if (end !== undefined && isEarlyFailure(end)) {
-        sendEnd(record, end, response);
+        sendResult(record, end, response);
         return;
     }
     await writer.writeEvents();
@@ -56,29 +56,29 @@
     return end.outcome !== RequestOutcome.Finished && end.outcome !== RequestOutcome.HandedOver;
 }
 
-async function serveWhole(record: RequestRecord, response: Response): Promise<void> {
-    const closed = new AbortController();
-    response.on("close", () => closed.abort());
-    while (record.getEnd() === undefined && !closed.signal.aborted) {
-        await record.waitForChange(record.tokens.length, closed.signal);
+async function serveUnstreamed(record: RequestRecord, response: Response): Promise<void> {
+    const disconnectController = new AbortController();
+    response.on("close", () => disconnectController.abort());
+    while (record.getEnd() === undefined && !disconnectController.signal.aborted) {
+        await record.waitForChange(record.tokens.length, disconnectController.signal);
     }
     const end = record.getEnd();
     if (end === undefined) {
         return;
     }
-    sendEnd(record, end, response);
+    sendResult(record, end, response);
 }
 
-/** Answers with the end of a record: the whole answer, the place to go on, or the failure. */
-export function sendEnd(record: RequestRecord, end: RequestEnd, response: Response): void {
+/** Sends the result of an ended request: the full response, the URL of a request that was handed over, or the failure. */
+export function sendResult(record: RequestRecord, end: RequestEnd, response: Response): void {
     const { request, history } = record;
     if (end.outcome === RequestOutcome.Finished) {
-        setAnswerHeaders(response, request.id, history.verdict, history.attempts.length);
-        response.json(createWholeAnswer(record, end));
+        setResponseHeaders(response, request.id, history.verdict, history.attempts.length);
+        response.json(createResponseBody(record, end));
         return;
     }
     if (end.outcome === RequestOutcome.HandedOver) {
-        setAnswerHeaders(response, request.id, Verdict.MayHaveRun, history.attempts.length);
+        setResponseHeaders(response, request.id, Verdict.MayHaveRun, history.attempts.length);
         response.setHeader("location", `/v1/requests/${request.id}`);
         response.status(202).json({ id: request.id, status: "accepted", location: `/v1/requests/${request.id}` });
         return;
@@ -86,7 +86,7 @@
     sendProblem(response, end.failure ?? Failure.create(history.verdict, Diagnostics.Caller_closed_the_connection), request.id, history);
 }
 
-function createWholeAnswer(record: RequestRecord, end: RequestEnd): Record<string, unknown> {
+function createResponseBody(record: RequestRecord, end: RequestEnd): Record<string, unknown> {
     const { request } = record;
     const text = record.tokens.join("");
     const finishReason = end.generation?.finishReason;
--- a/src/callers/completionBody.ts
+++ b/src/callers/completionBody.ts
@@ -39,7 +39,7 @@
     max_completion_tokens: z.number().int().positive().nullish(),
 });
 
-/** What a caller's completion or chat body asks for. */
+/** Validated body of a completion or chat completion request. */
 export interface CompletionBody {
     readonly service: string;
     readonly prompt: string;
@@ -49,7 +49,7 @@
     readonly sampling: Readonly<Record<string, unknown>>;
 }
 
-/** Parses the body of a completion. */
+/** Parses the body of a completion request. Fails when it is not valid UTF-8 or JSON, or does not match the schema. */
 export function parseCompletionBody(body: Buffer): Result<CompletionBody, Failure> {
     return parseBody(body, completionSchema, value => ({
         prompt: typeof value.prompt === "string" ? value.prompt : value.prompt[0] as string,
@@ -57,7 +57,7 @@
     }));
 }
 
-/** Parses the body of a chat completion; the messages become one prompt. */
+/** Parses the body of a chat completion request and joins its messages to one prompt. Fails like `parseCompletionBody`. */
 export function parseChatBody(body: Buffer): Result<CompletionBody, Failure> {
     return parseBody(body, chatSchema, value => ({
         prompt: formatMessages(value.messages),
@@ -66,11 +66,11 @@
 }
 
 function formatMessages(messages: readonly { role: string; content: string | readonly { text: string; }[]; }[]): string {
-    const parts = messages.map(message => {
+    const lines = messages.map(message => {
         const content = typeof message.content === "string" ? message.content : message.content.map(part => part.text).join("");
         return `${message.role}: ${content}\n`;
     });
-    return `${parts.join("")}assistant:`;
+    return `${lines.join("")}assistant:`;
 }
 
 type CommonValue = z.infer<z.ZodObject<typeof commonShape>>;
@@ -87,9 +87,13 @@
     const parsed = schema.safeParse(json.val);
     if (!parsed.success) {
         const issue = parsed.error.issues[0];
-        const place = issue === undefined || issue.path.length === 0 ? "body" : issue.path.join(".");
+        const location = issue === undefined || issue.path.length === 0 ? "body" : issue.path.join(".");
         return Err(
-            Failure.create(Verdict.NotRun, Diagnostics.Body_does_not_match_the_interface_0, `${place}: ${issue?.message ?? "not valid"}`),
+            Failure.create(
+                Verdict.NotRun,
+                Diagnostics.Body_does_not_match_the_interface_0,
+                `${location}: ${issue?.message ?? "not valid"}`,
+            ),
         );
     }
     const value = parsed.data;
@@ -115,6 +119,6 @@
 }
 
 function readSampling(value: CommonValue): Record<string, unknown> {
-    const given = Object.entries(value).filter(([key, entry]) => samplingKeys.includes(key) && entry !== undefined);
-    return Object.fromEntries(given);
+    const present = Object.entries(value).filter(([key, entry]) => samplingKeys.includes(key) && entry !== undefined);
+    return Object.fromEntries(present);
 }
--- a/src/callers/eventStream.ts
+++ b/src/callers/eventStream.ts
@@ -2,20 +2,21 @@
 import { Verdict } from "../common/verdict.js";
 import { RequestRecord } from "../requests/requestRecord.js";
 import { RequestEnd, RequestOutcome } from "../requests/types.js";
-import { AnswerHeader, createProblemBody, setAnswerHeaders } from "./problem.js";
+import { createProblemBody, ResponseHeader, setResponseHeaders } from "./problem.js";
 
-/** Time for which a caller may leave its connection full before it is closed, in milliseconds. */
-const stalledCallerMilliseconds = 30_000;
-/** Characters that one write gathers at the most. */
-const writeCharacters = 16_384;
-const endOfStream = "data: [DONE]\n\n";
+/** Time that a caller may take to drain a full send buffer before its connection is closed, in milliseconds. */
+const drainTimeoutMilliseconds = 30_000;
+/** Size at which a batch of token events is written, in characters; the last event may exceed it. */
+const writeLimitCharacters = 16_384;
+const endOfStreamEvent = "data: [DONE]\n\n";
 
-/** How the events of an answer look. */
+/** Serialization of a response's server-sent events, which differs between completions and chat completions. */
 export interface EventFormat {
-    /** Returns the text before and after the JSON string of a token. */
+    /** Event data before the JSON string of a token. */
     readonly beforeToken: string;
+    /** Event data after the JSON string of a token. */
     readonly afterToken: string;
-    /** Returns the last event of a whole answer. */
+    /** Creates the data of the final event of a request that finished. */
     createEndEvent(record: RequestRecord, end: RequestEnd): unknown;
 }
 
@@ -57,16 +58,16 @@
     return {
         beforeToken: `${prefix},"choices":[${beforeText}`,
         afterToken: `${afterText}]}`,
-        createEndEvent: (ended, end) => ({
+        createEndEvent: (finishedRecord, end) => ({
             ...head,
             choices: [{ index: 0, ...emptyContent, finish_reason: end.generation?.finishReason }],
-            ...(includeUsage ? { usage: createUsage(ended, end) } : {}),
-            corianderward: { verdict: ended.history.verdict, attempts: ended.history.attempts.length },
+            ...(includeUsage ? { usage: createUsage(finishedRecord, end) } : {}),
+            corianderward: { verdict: finishedRecord.history.verdict, attempts: finishedRecord.history.attempts.length },
         }),
     };
 }
 
-/** Creates the usage member of an answer. */
+/** Creates the `usage` member of a response, with its token counts. */
 export function createUsage(record: RequestRecord, end: RequestEnd): Record<string, unknown> {
     const promptTokens = end.generation?.promptTokens ?? 0;
     return {
@@ -77,15 +78,16 @@
     };
 }
 
-/** Streams a record to one caller from a token on, as fast as the caller reads. */
+/** Streams a request's tokens to one caller as server-sent events, starting at a token offset and honoring backpressure. */
 export class EventStreamWriter {
-    private readonly closed = new AbortController();
-    private hasCaller = true;
-    private sent: number;
-    private isScheduled = false;
-    private isBlocked = false;
-    private finish: () => void = () => {};
-    private release: () => void = () => {};
+    private readonly closeController = new AbortController();
+    private isCallerConnected = true;
+    /** Tokens that the caller has, including those before the start offset. */
+    private sentTokenCount: number;
+    private isWriteScheduled = false;
+    private isWaitingForDrain = false;
+    private finishWriting: () => void = () => {};
+    private removeRecordListener: () => void = () => {};
 
     private constructor(
         private readonly response: Response,
@@ -93,7 +95,7 @@
         private readonly format: EventFormat,
         offset: number,
     ) {
-        this.sent = offset;
+        this.sentTokenCount = offset;
         response.on("close", () => this.handleClose());
         response.on("error", () => this.handleClose());
     }
@@ -102,86 +104,86 @@
         return new EventStreamWriter(response, record, format, offset);
     }
 
-    /** Waits until there is something to send; returns the end when the request ended before any token. */
-    async waitForFirst(): Promise<RequestEnd | undefined> {
-        await this.record.waitForChange(this.sent, this.closed.signal);
-        return this.record.tokens.length > this.sent ? undefined : this.record.getEnd();
+    /** Waits for an unsent token, the end of the request or a disconnect. Returns the end if no token is left to send, else undefined. */
+    async waitForFirstToken(): Promise<RequestEnd | undefined> {
+        await this.record.waitForChange(this.sentTokenCount, this.closeController.signal);
+        return this.record.tokens.length > this.sentTokenCount ? undefined : this.record.getEnd();
     }
 
     isClosed(): boolean {
-        return !this.hasCaller;
+        return !this.isCallerConnected;
     }
 
     private handleClose(): void {
-        this.hasCaller = false;
-        this.closed.abort();
-        this.finish();
+        this.isCallerConnected = false;
+        this.closeController.abort();
+        this.finishWriting();
     }
 
-    /** Sends events until the request has ended or the caller is gone. */
+    /** Writes events until the request has ended or the caller has disconnected. */
     async writeEvents(): Promise<void> {
         this.writeHead();
         await new Promise<void>(resolve => {
-            this.finish = resolve;
+            this.finishWriting = resolve;
             const removeListener = this.record.addListener(() => this.scheduleWrite());
-            this.release = removeListener;
+            this.removeRecordListener = removeListener;
             this.writePending();
         });
-        this.release();
+        this.removeRecordListener();
     }
 
-    /** Tokens that come in one chunk go out in one write. */
+    /** Defers the write to a microtask, so that tokens received in one chunk are sent in one write. */
     private scheduleWrite(): void {
-        if (this.isScheduled || this.isBlocked) {
+        if (this.isWriteScheduled || this.isWaitingForDrain) {
             return;
         }
-        this.isScheduled = true;
+        this.isWriteScheduled = true;
         queueMicrotask(() => this.writePending());
     }
 
     private writePending(): void {
-        this.isScheduled = false;
+        this.isWriteScheduled = false;
         const { tokens } = this.record;
-        while (this.sent < tokens.length && !this.isBlocked) {
+        while (this.sentTokenCount < tokens.length && !this.isWaitingForDrain) {
             if (this.isClosed()) {
                 return;
             }
-            this.isBlocked = !this.response.write(this.createTokenEvents(tokens));
-            if (this.isBlocked) {
+            this.isWaitingForDrain = !this.response.write(this.createTokenEvents(tokens));
+            if (this.isWaitingForDrain) {
                 this.waitForDrain();
             }
         }
         const end = this.record.getEnd();
-        if (end !== undefined && this.sent >= tokens.length && !this.isClosed()) {
+        if (end !== undefined && this.sentTokenCount >= tokens.length && !this.isClosed()) {
             this.writeEnd(end);
-            this.finish();
+            this.finishWriting();
         }
     }
 
     private createTokenEvents(tokens: readonly string[]): string {
         let text = "";
-        while (this.sent < tokens.length && text.length < writeCharacters) {
-            const token = JSON.stringify(tokens[this.sent]);
-            this.sent += 1;
-            text += `id: ${this.sent}\ndata: ${this.format.beforeToken}${token}${this.format.afterToken}\n\n`;
+        while (this.sentTokenCount < tokens.length && text.length < writeLimitCharacters) {
+            const token = JSON.stringify(tokens[this.sentTokenCount]);
+            this.sentTokenCount += 1;
+            text += `id: ${this.sentTokenCount}\ndata: ${this.format.beforeToken}${token}${this.format.afterToken}\n\n`;
         }
         return text;
     }
 
     private writeHead(): void {
-        setAnswerHeaders(this.response, this.record.request.id, Verdict.MayHaveRun, this.record.history.attempts.length);
+        setResponseHeaders(this.response, this.record.request.id, Verdict.MayHaveRun, this.record.history.attempts.length);
         this.response.setHeader("content-type", "text/event-stream");
         this.response.setHeader("cache-control", "no-store");
-        this.response.setHeader("trailer", `${AnswerHeader.Verdict}, ${AnswerHeader.Attempts}`);
+        this.response.setHeader("trailer", `${ResponseHeader.Verdict}, ${ResponseHeader.Attempts}`);
         this.response.writeHead(200);
     }
 
-    /** Goes on when the caller has read enough; a caller that reads nothing for too long is closed. */
+    /** Resumes writing after the send buffer has drained. Closes the connection if that takes longer than the timeout. */
     private waitForDrain(): void {
-        const timer = setTimeout(() => this.response.destroy(), stalledCallerMilliseconds).unref();
+        const timer = setTimeout(() => this.response.destroy(), drainTimeoutMilliseconds).unref();
         this.response.once("drain", () => {
             clearTimeout(timer);
-            this.isBlocked = false;
+            this.isWaitingForDrain = false;
             this.writePending();
         });
         this.response.once("close", () => clearTimeout(timer));
@@ -190,11 +192,11 @@
     private writeEnd(end: RequestEnd): void {
         const { history, request } = this.record;
         if (end.outcome === RequestOutcome.Finished) {
-            this.response.write(`id: ${this.sent}\ndata: ${JSON.stringify(this.format.createEndEvent(this.record, end))}\n\n`);
-            this.response.write(endOfStream);
+            this.response.write(`id: ${this.sentTokenCount}\ndata: ${JSON.stringify(this.format.createEndEvent(this.record, end))}\n\n`);
+            this.response.write(endOfStreamEvent);
         }
         else if (end.outcome === RequestOutcome.HandedOver) {
-            const target = { location: `/v1/requests/${request.id}`, last_event_id: this.sent };
+            const target = { location: `/v1/requests/${request.id}`, last_event_id: this.sentTokenCount };
             this.response.write(`event: reattach\ndata: ${JSON.stringify(target)}\n\n`);
         }
         else if (end.failure !== undefined) {
@@ -205,7 +207,10 @@
             this.response.destroy();
             return;
         }
-        this.response.addTrailers({ [AnswerHeader.Verdict]: history.verdict, [AnswerHeader.Attempts]: String(history.attempts.length) });
+        this.response.addTrailers({
+            [ResponseHeader.Verdict]: history.verdict,
+            [ResponseHeader.Attempts]: String(history.attempts.length),
+        });
         this.response.end();
     }
 }
--- a/src/callers/problem.ts
+++ b/src/callers/problem.ts
@@ -3,15 +3,15 @@
 import { Verdict } from "../common/verdict.js";
 import { RequestHistory } from "../requests/requestRecord.js";
 
-/** Headers that every answer to a caller carries. */
-export enum AnswerHeader {
+/** Headers on responses to callers. `Replayed` marks the stored response of an earlier call with the same idempotency key. */
+export enum ResponseHeader {
     RequestId = "x-request-id",
     Verdict = "x-request-verdict",
     Attempts = "x-request-attempts",
     Replayed = "x-request-replayed",
 }
 
-/** The body of a refusal or failure: RFC 9457 with the verdict, and the error member that OpenAI clients read. */
+/** Body of an error response: RFC 9457 problem details, plus the verdict and the `error` member that OpenAI clients read. */
 export interface ProblemBody {
     readonly type: string;
     readonly title: string;
@@ -23,10 +23,12 @@
     readonly error: { readonly message: string; readonly type: string; readonly code: string; };
 }
 
+/** Status of a failure whose caller closed the connection; it is never sent. */
 const callerClosedStatus = 499;
-const retriableStatuses: ReadonlySet<number> = new Set([429, 503]);
+/** Statuses whose responses carry a Retry-After header even when the failure specifies no delay. */
+const statusesWithRetryAfter: ReadonlySet<number> = new Set([429, 503]);
 
-/** Creates the problem body of a failure. */
+/** Creates the error response body for a failure. */
 export function createProblemBody(failure: Failure, requestId: string, attempts: number): ProblemBody {
     const code = `CW${failure.message.code}`;
     return {
@@ -41,25 +43,25 @@
     };
 }
 
-/** Sets the headers that every answer carries. */
-export function setAnswerHeaders(response: Response, requestId: string, verdict: Verdict, attempts: number): void {
-    response.setHeader(AnswerHeader.RequestId, requestId);
-    response.setHeader(AnswerHeader.Verdict, verdict);
-    response.setHeader(AnswerHeader.Attempts, String(attempts));
+/** Sets the request id, verdict and attempt count headers, which are on every response for a request. */
+export function setResponseHeaders(response: Response, requestId: string, verdict: Verdict, attempts: number): void {
+    response.setHeader(ResponseHeader.RequestId, requestId);
+    response.setHeader(ResponseHeader.Verdict, verdict);
+    response.setHeader(ResponseHeader.Attempts, String(attempts));
 }
 
-/** Answers with a failure. Does nothing when the answer has begun or the caller is gone. */
+/** Sends a failure as an error response. Destroys the response when its headers were sent or the caller has disconnected. */
 export function sendProblem(response: Response, failure: Failure, requestId: string, history?: RequestHistory): void {
     if (response.headersSent || response.destroyed || failure.message.status === callerClosedStatus) {
         response.destroy();
         return;
     }
     const attempts = history?.attempts.length ?? 0;
-    setAnswerHeaders(response, requestId, failure.verdict, attempts);
+    setResponseHeaders(response, requestId, failure.verdict, attempts);
     if (failure.retryAfterSeconds !== undefined) {
         response.setHeader("retry-after", String(Math.max(1, Math.ceil(failure.retryAfterSeconds))));
     }
-    else if (retriableStatuses.has(failure.message.status)) {
+    else if (statusesWithRetryAfter.has(failure.message.status)) {
         response.setHeader("retry-after", "1");
     }
     response.status(failure.message.status).type("application/problem+json").send(
--- a/src/callers/queries/serveModels.ts
+++ b/src/callers/queries/serveModels.ts
@@ -3,23 +3,23 @@
 import { ServiceKind } from "../../config/types.js";
 import { authenticateTeam, findCallableService } from "../authentication.js";
 import { sendProblem } from "../problem.js";
-import { CallerParts } from "../types.js";
+import { CallerDependencies } from "../types.js";
 
-/** Lists the model services that the caller's team may call, in the OpenAI shape. */
-export function serveModels(parts: CallerParts, request: Request, response: Response): void {
-    const team = authenticateTeam(request, parts.configuration);
+/** Sends the model services that the caller's team may call, in the format of the OpenAI model list. */
+export function serveModels(dependencies: CallerDependencies, request: Request, response: Response): void {
+    const team = authenticateTeam(request, dependencies.configuration);
     if (team.err) {
         sendProblem(response, team.val, createIdentifier());
         return;
     }
-    const services = parts.configuration.listServices().filter(service => {
-        return findCallableService(parts.configuration, team.val, service.name, ServiceKind.Model).ok;
+    const services = dependencies.configuration.listServices().filter(service => {
+        return findCallableService(dependencies.configuration, team.val, service.name, ServiceKind.Model).ok;
     });
     const data = services.map(service => ({
         id: service.name,
         object: "model",
         created: 0,
-        owned_by: parts.configuration.findOwner(service.name),
+        owned_by: dependencies.configuration.findOwner(service.name),
     }));
     response.json({ object: "list", data });
 }
--- a/src/callers/queries/serveRequestById.ts
+++ b/src/callers/queries/serveRequestById.ts
@@ -10,14 +10,14 @@
 import { authenticateTeam } from "../authentication.js";
 import { serveRecord } from "../commands/serveRecord.js";
 import { createChatFormat, createCompletionFormat } from "../eventStream.js";
-import { sendProblem, setAnswerHeaders } from "../problem.js";
+import { sendProblem, setResponseHeaders } from "../problem.js";
 import { readLastEventId } from "../requestHeaders.js";
-import { CallerParts } from "../types.js";
+import { CallerDependencies } from "../types.js";
 
-/** Answers for a request by its id: its stream from the last event on, its whole answer, or that it still runs. */
-export async function serveRequestById(parts: CallerParts, request: Request, response: Response): Promise<void> {
+/** Sends the response of an existing request: a stream resumed after Last-Event-ID, the full response, or 202 while it is running. */
+export async function serveRequestById(dependencies: CallerDependencies, request: Request, response: Response): Promise<void> {
     const requestId = String(request.params["id"]);
-    const team = authenticateTeam(request, parts.configuration);
+    const team = authenticateTeam(request, dependencies.configuration);
     if (team.err) {
         sendProblem(response, team.val, requestId);
         return;
@@ -28,50 +28,50 @@
         return;
     }
     const isStream = String(request.headers.accept ?? "").includes("text/event-stream");
-    const record = validate(requestId) ? await findRecord(parts, requestId, request) : undefined;
-    // A request of another team is answered as if it did not exist.
+    const record = validate(requestId) ? await findRecord(dependencies, requestId, request) : undefined;
+    // Another team's request gets the same response as an unknown id, so that its existence is not disclosed.
     if (record === undefined || record.request.team !== team.val.name) {
         sendProblem(response, Failure.create(Verdict.NotRun, Diagnostics.Request_0_is_not_known, requestId), requestId);
         return;
     }
     if (!isStream && record.getEnd() === undefined) {
-        setAnswerHeaders(response, requestId, record.history.verdict, record.history.attempts.length);
+        setResponseHeaders(response, requestId, record.history.verdict, record.history.attempts.length);
         response.setHeader("retry-after", "1");
         response.status(202).json({ id: requestId, status: "running", tokens: record.tokens.length });
         return;
     }
     const format = record.request.isChat ? createChatFormat(record, true) : createCompletionFormat(record, true);
-    await serveRecord(parts, record, format, isStream, offset.val, response);
+    await serveRecord(dependencies, record, format, isStream, offset.val, response);
 }
 
-async function findRecord(parts: CallerParts, requestId: string, request: Request): Promise<RequestRecord | undefined> {
-    const local = parts.table.findRecord(requestId);
+async function findRecord(dependencies: CallerDependencies, requestId: string, request: Request): Promise<RequestRecord | undefined> {
+    const local = dependencies.table.findRecord(requestId);
     if (local !== undefined && local.getEnd()?.outcome !== RequestOutcome.HandedOver) {
         return local;
     }
-    const draft = await parts.drafts.findDraft(requestId);
+    const draft = await dependencies.drafts.findDraft(requestId);
     if (draft.ok && draft.val !== undefined && draft.val.state !== DraftState.Pending) {
-        return createEndedRecord(parts, draft.val, request);
+        return createEndedRecord(dependencies, draft.val, request);
     }
-    const remote = await parts.remote.followRequest(requestId, 0);
+    const remote = await dependencies.remote.followRequest(requestId, 0);
     if (remote !== undefined) {
         return remote;
     }
     if (draft.ok && draft.val !== undefined) {
-        // Its owner is gone and nobody has adopted it yet; it will be.
-        return createPendingRecord(parts, draft.val, request);
+        // No reachable node owns the pending draft. Another node will adopt it, so the request is reported as running.
+        return createPendingRecord(dependencies, draft.val, request);
     }
     return undefined;
 }
 
-function createPendingRecord(parts: CallerParts, draft: Draft, request: Request): RequestRecord {
-    const span = parts.tracing.startSpanFromHeaders("stored request", readTraceHeaders(request.headers));
+function createPendingRecord(dependencies: CallerDependencies, draft: Draft, request: Request): RequestRecord {
+    const span = dependencies.tracing.startSpanFromHeaders("stored request", readTraceHeaders(request.headers));
     span.end();
     return RequestRecord.create(draft.request, span);
 }
 
-function createEndedRecord(parts: CallerParts, draft: Draft, request: Request): RequestRecord {
-    const record = createPendingRecord(parts, draft, request);
+function createEndedRecord(dependencies: CallerDependencies, draft: Draft, request: Request): RequestRecord {
+    const record = createPendingRecord(dependencies, draft, request);
     if (draft.generation !== undefined) {
         record.history.verdict = Verdict.Ran;
         record.appendRelayedToken(draft.text);
--- a/src/callers/requestHeaders.ts
+++ b/src/callers/requestHeaders.ts
@@ -5,14 +5,14 @@
 import { millisecondsPerSecond } from "../common/units.js";
 import { Verdict } from "../common/verdict.js";
 
-/** The header with the time, in seconds, after which the caller no longer wants the answer. */
+/** Request header with the caller's time limit, in seconds from the arrival of the request. */
 export const timeoutHeader = "x-request-timeout-seconds";
 const idempotencyHeader = "idempotency-key";
 const lastEventHeader = "last-event-id";
-const keyPattern = /^[!-~]{1,255}$/;
-const longestTimeoutSeconds = 86_400;
+const idempotencyKeyPattern = /^[!-~]{1,255}$/;
+const maxTimeoutSeconds = 86_400;
 
-/** Returns the deadline in Unix milliseconds: the caller's or the service's time limit, whichever is earlier. */
+/** Returns the deadline in Unix milliseconds, from the shorter of the caller's and the service's time limit. Fails on a malformed header. */
 export function readDeadline(request: Request, now: number, timeLimit: number): Result<number, Failure> {
     const header = request.headers[timeoutHeader];
     if (header === undefined) {
@@ -20,7 +20,7 @@
     }
     const seconds = Number(header);
     const isValid = typeof header === "string" && header.trim() !== "" && Number.isFinite(seconds) && seconds > 0
-        && seconds <= longestTimeoutSeconds;
+        && seconds <= maxTimeoutSeconds;
     if (!isValid) {
         return Err(
             Failure.create(Verdict.NotRun, Diagnostics.Header_0_is_not_valid_1, timeoutHeader, "a number of seconds above 0 is allowed"),
@@ -29,13 +29,13 @@
     return Ok(now + Math.min(timeLimit, seconds * millisecondsPerSecond));
 }
 
-/** Returns the idempotency key, or undefined when there is none. */
+/** Returns the idempotency key, or undefined when the header is absent. Fails on a malformed key. */
 export function readIdempotencyKey(request: Request): Result<string | undefined, Failure> {
     const header = request.headers[idempotencyHeader];
     if (header === undefined) {
         return Ok(undefined);
     }
-    if (typeof header !== "string" || !keyPattern.test(header)) {
+    if (typeof header !== "string" || !idempotencyKeyPattern.test(header)) {
         return Err(
             Failure.create(
                 Verdict.NotRun,
@@ -48,7 +48,7 @@
     return Ok(header);
 }
 
-/** Returns how many tokens the caller already has, from the Last-Event-ID header. */
+/** Returns how many tokens the caller has received, from the Last-Event-ID header; 0 when the header is absent. Fails on a malformed header. */
 export function readLastEventId(request: Request): Result<number, Failure> {
     const header = request.headers[lastEventHeader];
     if (header === undefined) {
@@ -61,7 +61,7 @@
     return Ok(count);
 }
 
-/** Says whether the caller asked for an asynchronous answer. */
+/** Returns whether the Prefer header requests asynchronous processing (RFC 7240 `respond-async`). */
 export function hasAsyncPreference(request: Request): boolean {
     const header = request.headers["prefer"];
     return typeof header === "string" && header.split(",").some(part => part.trim().toLowerCase() === "respond-async");
--- a/src/callers/types.ts
+++ b/src/callers/types.ts
@@ -10,19 +10,19 @@
 import { RequestService } from "../requests/requestService.js";
 import { RequestTable } from "../requests/requestTable.js";
 
-/** Finds requests that other nodes own. */
+/** Access to requests that other nodes own. */
 export interface RemoteRequests {
-    /** Returns a record that mirrors a request of another node from a token on, or undefined when no node knows it. */
+    /** Returns a record that mirrors another node's request from a token offset, or undefined when no reachable node has the request. */
     followRequest(requestId: string, offset: number): Promise<RequestRecord | undefined>;
 }
 
-/** Whether the node takes new work. */
+/** Admission state of the node: whether it accepts new requests, which it does not while shutting down. */
 export interface AcceptanceGate {
     isAccepting(): boolean;
 }
 
-/** The parts of a node that serving callers needs. */
-export interface CallerParts {
+/** Dependencies of the caller server and its handlers. */
+export interface CallerDependencies {
     readonly clock: Clock;
     readonly metrics: Metrics;
     readonly tracing: Tracing;
