--- a/src/node/bindings/commonBindings.ts
+++ b/src/node/bindings/commonBindings.ts
@@ -17,7 +17,7 @@
 import { Keys } from "../keys.js";
 import { NodeDigests } from "../nodeDigests.js";
 
-/** Binds the clock, randomness, logs, metrics and traces. */
+/** Binds the clock, random source, logger, metrics, tracing and configuration. */
 export function addCommonBindings(container: Container, settings: NodeSettings): void {
     container.bind(Keys.Clock).toDynamicValue(() => SystemClock.create());
     container.bind(Keys.Random).toDynamicValue(() => SeededRandom.create(Date.now() % 2 ** 31));
@@ -29,7 +29,7 @@
     container.bind(Keys.Configuration).toDynamicValue(() => ConfigurationSet.create());
 }
 
-/** Binds the clients of the platform. */
+/** Binds the clients of the platform services. */
 export function addPlatformBindings(container: Container, settings: NodeSettings): void {
     const timeout = settings.timing.platformTimeout;
     container.bind(Keys.ObjectStore).toDynamicValue(context =>
@@ -47,7 +47,7 @@
     );
 }
 
-/** Binds what connects a node to its peers. */
+/** Binds the peer connections, the member directory and the digest exchange. */
 export function addPeerBindings(container: Container, settings: NodeSettings): void {
     container.bind(Keys.Tls).toDynamicValue(context =>
         settings.tls === undefined ? undefined : TlsMaterial.create(settings.tls, context.get(Keys.Logger))
@@ -69,7 +69,7 @@
             random: context.get(Keys.Random),
             directory: context.get(Keys.Directory),
             objects: context.get(Keys.Objects),
-            clocks: context.get(Keys.Clocks),
+            clocks: context.get(Keys.ClockMonitor),
             registry: context.get(Keys.Registry),
             ledger: context.get(Keys.Ledger),
             limiter: context.get(Keys.Limiter),
--- a/src/node/bindings/controlBindings.ts
+++ b/src/node/bindings/controlBindings.ts
@@ -16,10 +16,10 @@
 import { UrgentNotifier } from "../../peers/types.js";
 import { Keys } from "../keys.js";
 
-/** Longest time in which a write takes effect or never does, in multiples of the platform timeout. */
-const writeSettleFactor = 2;
+/** Time after which a store write of unknown outcome can no longer take effect, in multiples of the platform timeout. */
+const writeSettleTimeoutMultiple = 2;
 
-/** Binds configuration, moves, leases and duties. */
+/** Binds shared objects, version moves, leases and duties. */
 export function addControlBindings(container: Container, settings: NodeSettings): void {
     container.bind(Keys.HostListKeeper).toDynamicValue(context =>
         HostListKeeper.create(
@@ -56,16 +56,16 @@
         const objects = SharedObjects.create(() => clock.getMonotonicTime());
         objects.addConsumer(context.get(Keys.ConfigurationConsumer));
         objects.addConsumer(context.get(Keys.Moves));
-        objects.addConsumer(context.get(Keys.QuarantineKeeper));
+        objects.addConsumer(context.get(Keys.QuarantineReplicator));
         return objects;
     });
     container.bind(Keys.ConfigurationConsumer).toDynamicValue(context =>
         ConfigurationConsumer.create(context.get(Keys.Configuration), context.get(Keys.Metrics))
     );
-    container.bind(Keys.QuarantineKeeper).toDynamicValue(context =>
+    container.bind(Keys.QuarantineReplicator).toDynamicValue(context =>
         QuarantineKeeper.create(context.get(Keys.ObjectStore), context.get(Keys.Ledger), context.get(Keys.Clock))
     );
-    container.bind(Keys.Clocks).toDynamicValue(context => ClockMonitor.create(context.get(Keys.Clock)));
+    container.bind(Keys.ClockMonitor).toDynamicValue(context => ClockMonitor.create(context.get(Keys.Clock)));
     container.bind(Keys.Moves).toDynamicValue(context => {
         const notifier: UrgentNotifier = { sendUrgentDigest: () => context.get(Keys.Exchange).sendUrgentDigest() };
         return MoveKeeper.create(
@@ -86,10 +86,10 @@
             configuration: context.get(Keys.Configuration),
             registry: context.get(Keys.Registry),
             directory: context.get(Keys.Directory),
-            clocks: context.get(Keys.Clocks),
+            clocks: context.get(Keys.ClockMonitor),
             clock: context.get(Keys.Clock),
             logger: context.get(Keys.Logger),
-            writeSettleTime: settings.timing.platformTimeout * writeSettleFactor,
+            writeSettleTime: settings.timing.platformTimeout * writeSettleTimeoutMultiple,
         })
     );
     container.bind(Keys.MoveOperations).toDynamicValue(context =>
@@ -112,7 +112,7 @@
         settings.timing.leaseTerm,
         {
             recordTaken: (lease, fencing) => {
-                context.get(Keys.Logger).info("lease taken", { lease, fencing });
+                context.get(Keys.Logger).info("lease acquired", { lease, fencing });
                 context.get(Keys.Metrics).leaseHeld.set({ lease }, 1);
             },
         },
--- a/src/node/bindings/gatewayBindings.ts
+++ b/src/node/bindings/gatewayBindings.ts
@@ -33,34 +33,34 @@
 import { addDutyBindings } from "./gatewayDutyBindings.js";
 import { addPeerBindings } from "./gatewayPeerBindings.js";
 
-/** Pause between two looks of a node that hears of endpoints from a relay, in milliseconds: a look finds what the relay has missed. */
-const followingPauseMilliseconds = 4_000;
-/** Pause between two looks at the nodes' entries, in milliseconds: nodes tell one another of new ones too. */
-const nodesPauseMilliseconds = 1_000;
-/** Seeds fit in 31 bits. */
+/** Poll interval of the endpoint entries while a relay sends their changes: the poll finds changes that the relay has missed. */
+const relayedEndpointPollMilliseconds = 4_000;
+/** Poll interval of the node entries; gossip distributes new nodes as well. */
+const nodeEntryPollMilliseconds = 1_000;
+/** Upper bound of the seed of the random source, which takes 31 bits. */
 const seedRange = 2 ** 31;
 
-/** Binds every part of a gateway that is the same in each kind of deployment. */
+/** Adds the bindings of a gateway that are the same in every kind of deployment. */
 export function addGatewayBindings(container: Container, settings: GatewaySettings): void {
-    addFoundations(container, settings);
-    addBeliefs(container, settings);
-    addPlacement(container, settings);
+    addFoundationBindings(container, settings);
+    addClusterStateBindings(container, settings);
+    addPlacementBindings(container, settings);
     addPeerBindings(container, settings);
     addDutyBindings(container, settings);
-    addDataPath(container, settings);
+    addDataPathBindings(container, settings);
 }
 
-function addFoundations(container: Container, settings: GatewaySettings): void {
+function addFoundationBindings(container: Container, settings: GatewaySettings): void {
     container.bind(Keys.Settings).toConstantValue(settings);
     container.bind(Keys.Clock).toDynamicValue(() => SystemClock.create());
     container.bind(Keys.Random).toDynamicValue(() => SeededRandom.create((Date.now() ^ process.pid) % seedRange));
     container.bind(Keys.Log).toDynamicValue(() => JsonEventLog.create(settings.name));
     container.bind(Keys.Metrics).toDynamicValue(() => GatewayMetrics.create());
-    container.bind(Keys.Gate).toConstantValue({ isLeaving: false });
+    container.bind(Keys.ShutdownState).toConstantValue({ isLeaving: false });
 }
 
-/** Binds what a node believes: configuration, endpoints, peers, and how it learns of them. */
-function addBeliefs(container: Container, settings: GatewaySettings): void {
+/** Binds the node's view of configuration, endpoints, versions and peers, and the watches that update it. */
+function addClusterStateBindings(container: Container, settings: GatewaySettings): void {
     container.bind(Keys.Configuration).toDynamicValue(() => ConfigurationHolder.create());
     container.bind(Keys.ConfigurationFollower).toDynamicValue(context =>
         ConfigurationFollower.create(context.get(Keys.Configuration), context.get(Keys.ConfigurationDecoder), context.get(Keys.Log))
@@ -113,9 +113,9 @@
         const endpoints = ObjectFollower.create(store, context.get(Keys.EndpointDecoder).prefix, endpointFollower, clock, log);
         endpointFollower.setOutageSource(() => endpoints.getRegainedAt());
         const plan = context.get(Keys.RelayPlan);
-        endpoints.setGroupPause(() => plan.isFollowingRelay() ? followingPauseMilliseconds : groupMilliseconds);
+        endpoints.setGroupPause(() => plan.isFollowingRelay() ? relayedEndpointPollMilliseconds : groupMilliseconds);
         const nodes = ObjectFollower.create(store, nodePrefix, context.get(Keys.Registry), clock, log);
-        nodes.setGroupPause(() => nodesPauseMilliseconds);
+        nodes.setGroupPause(() => nodeEntryPollMilliseconds);
         return {
             configuration: ObjectFollower.create(store, configurationPrefix, context.get(Keys.ConfigurationFollower), clock, log),
             endpoints,
@@ -125,9 +125,9 @@
     });
 }
 
-function addPlacement(container: Container, settings: GatewaySettings): void {
-    container.bind(Keys.News).toDynamicValue(() => PlacementNews.create());
-    container.bind(Keys.Work).toDynamicValue(context => WorkMeter.create(context.get(Keys.Clock), settings.engines));
+function addPlacementBindings(container: Container, settings: GatewaySettings): void {
+    container.bind(Keys.PlacementUpdates).toDynamicValue(() => PlacementNews.create());
+    container.bind(Keys.ServiceWorkTracker).toDynamicValue(context => WorkMeter.create(context.get(Keys.Clock), settings.engines));
     container.bind(Keys.EnginePlacement).toDynamicValue(() => EnginePlacement.create(settings.engines, settings.failureDomain));
     container.bind(Keys.CallPlacement).toDynamicValue(context => {
         const clock = context.get(Keys.Clock);
@@ -149,11 +149,11 @@
     });
 }
 
-function addDataPath(container: Container, settings: GatewaySettings): void {
-    container.bind(Keys.Caps).toDynamicValue(context => SharedRateLimiter.create(context.get(Keys.Clock), settings.caps));
-    container.bind(Keys.Allowance).toDynamicValue(context => RetryAllowance.create(context.get(Keys.Clock), settings.retries));
+function addDataPathBindings(container: Container, settings: GatewaySettings): void {
+    container.bind(Keys.SharedRateLimiter).toDynamicValue(context => SharedRateLimiter.create(context.get(Keys.Clock), settings.caps));
+    container.bind(Keys.FleetRetryBudget).toDynamicValue(context => RetryAllowance.create(context.get(Keys.Clock), settings.retries));
     container.bind(Keys.Ledger).toDynamicValue(context => QuarantineLedger.create(context.get(Keys.Clock), settings.timing.quarantineTerm));
-    container.bind(Keys.Crashes).toDynamicValue(context =>
+    container.bind(Keys.PoisonRequestDetector).toDynamicValue(context =>
         CrashWatch.create(context.get(Keys.Ledger), context.get(Keys.Clock), context.get(Keys.Log))
     );
     container.bind(Keys.Connections).toDynamicValue(() => EndpointConnections.create());
@@ -168,12 +168,12 @@
             directory: context.get(Keys.Directory),
             callPlacement: context.get(Keys.CallPlacement),
             chooser: context.get(Keys.Chooser),
-            allowance: context.get(Keys.Allowance),
+            allowance: context.get(Keys.FleetRetryBudget),
             usage: context.get(Keys.Usage),
             ledger: context.get(Keys.Ledger),
-            crashes: context.get(Keys.Crashes),
-            news: context.get(Keys.News),
-            work: context.get(Keys.Work),
+            crashes: context.get(Keys.PoisonRequestDetector),
+            news: context.get(Keys.PlacementUpdates),
+            work: context.get(Keys.ServiceWorkTracker),
             versions: context.get(Keys.Versions),
             timing: settings.timing,
         });
@@ -188,7 +188,7 @@
             configuration: context.get(Keys.Configuration),
             reader: CallReader.create(protocol, clock, context.get(Keys.Random), context.get(Keys.Tracing)),
             forwarder: context.get(Keys.Forwarder),
-            caps: context.get(Keys.Caps),
+            caps: context.get(Keys.SharedRateLimiter),
             retryAfterHeader: protocol.retryAfter,
         });
     });
--- a/src/node/bindings/gatewayDutyBindings.ts
+++ b/src/node/bindings/gatewayDutyBindings.ts
@@ -10,7 +10,7 @@
 import { MoveSchedule } from "../../versions/moveSchedule.js";
 import { GatewayKeys as Keys } from "../gatewayKeys.js";
 
-/** Binds what the holder of the lease does for all nodes. */
+/** Binds usage accounting, the duty lease, and the duties that its holder runs for all nodes. */
 export function addDutyBindings(container: Container, settings: GatewaySettings): void {
     container.bind(Keys.Usage).toDynamicValue(context => UsageCounter.create(context.get(Keys.Clock), settings.usage.windowLength));
     container.bind(Keys.UsageLedger).toDynamicValue(() => UsageLedger.create());
@@ -61,7 +61,7 @@
                     lease,
                     configuration: context.get(Keys.Configuration),
                     directory: context.get(Keys.Directory),
-                    work: context.get(Keys.Work),
+                    work: context.get(Keys.ServiceWorkTracker),
                     versions: context.get(Keys.VersionTraffic),
                     settings: settings.fleet,
                 }),
--- a/src/node/bindings/gatewayPeerBindings.ts
+++ b/src/node/bindings/gatewayPeerBindings.ts
@@ -10,7 +10,7 @@
 import { PeerSessions } from "../../peers/peerSessions.js";
 import { GatewayKeys as Keys } from "../gatewayKeys.js";
 
-/** Binds how nodes find one another and what they tell. */
+/** Binds the gossip exchange, its content and the relay plan. */
 export function addPeerBindings(container: Container, settings: GatewaySettings): void {
     container.bind(Keys.GossipLink).toDynamicValue(context => {
         const metrics = context.get(Keys.Metrics);
@@ -20,20 +20,20 @@
         }));
     });
     container.bind(Keys.RelayPlan).toDynamicValue(context => RelayPlan.create(context.get(Keys.Peers)));
-    container.bind(Keys.Loads).toDynamicValue(context => SharedLoads.create(context.get(Keys.Directory), context.get(Keys.Clock)));
-    container.bind(Keys.Sums).toDynamicValue(context =>
+    container.bind(Keys.SharedLoads).toDynamicValue(context => SharedLoads.create(context.get(Keys.Directory), context.get(Keys.Clock)));
+    container.bind(Keys.FleetSums).toDynamicValue(context =>
         FleetSums.create({
             clock: context.get(Keys.Clock),
             table: context.get(Keys.Peers),
             plan: context.get(Keys.RelayPlan),
-            caps: context.get(Keys.Caps),
-            work: context.get(Keys.Work),
-            loads: context.get(Keys.Loads),
+            caps: context.get(Keys.SharedRateLimiter),
+            work: context.get(Keys.ServiceWorkTracker),
+            loads: context.get(Keys.SharedLoads),
         })
     );
     container.bind(Keys.Gossip).toDynamicValue(context => {
         const watches = context.get(Keys.Watches);
-        const gate = context.get(Keys.Gate);
+        const shutdownState = context.get(Keys.ShutdownState);
         const content = GatewayContent.create({
             clock: context.get(Keys.Clock),
             log: context.get(Keys.Log),
@@ -43,19 +43,19 @@
             directory: context.get(Keys.Directory),
             endpointFollower: context.get(Keys.EndpointFollower),
             watches: [watches.configuration, watches.endpoints],
-            news: context.get(Keys.News),
-            caps: context.get(Keys.Caps),
-            allowance: context.get(Keys.Allowance),
+            news: context.get(Keys.PlacementUpdates),
+            caps: context.get(Keys.SharedRateLimiter),
+            allowance: context.get(Keys.FleetRetryBudget),
             usage: context.get(Keys.Usage),
             usageLedger: context.get(Keys.UsageLedger),
-            work: context.get(Keys.Work),
+            work: context.get(Keys.ServiceWorkTracker),
             lease: context.get(Keys.Lease),
             ledger: context.get(Keys.Ledger),
             versions: context.get(Keys.Versions),
             plan: context.get(Keys.RelayPlan),
-            loads: context.get(Keys.Loads),
-            sums: context.get(Keys.Sums),
-            getIsLeaving: () => gate.isLeaving,
+            loads: context.get(Keys.SharedLoads),
+            sums: context.get(Keys.FleetSums),
+            getIsLeaving: () => shutdownState.isLeaving,
         });
         return GossipExchange.create(
             context.get(Keys.Peers),
--- a/src/node/bindings/listenerBindings.ts
+++ b/src/node/bindings/listenerBindings.ts
@@ -9,7 +9,7 @@
 import { NodeGate } from "../nodeGate.js";
 import { NodePeerHandler } from "../nodePeerHandler.js";
 
-/** Binds the listeners. */
+/** Binds the servers for callers, peers and operators, and the gate that controls them. */
 export function addListenerBindings(container: Container, settings: NodeSettings): void {
     container.bind(Keys.Gate).toDynamicValue(context => NodeGate.create(context.get(Keys.Configuration), context.get(Keys.HostListKeeper)));
     container.bind(Keys.PeerHandler).toDynamicValue(context =>
@@ -18,7 +18,7 @@
             tracing: context.get(Keys.Tracing),
             configuration: context.get(Keys.Configuration),
             digests: context.get(Keys.Digests),
-            keeper: context.get(Keys.SharedObjectKeeper),
+            replicator: context.get(Keys.SharedObjectKeeper),
             service: context.get(Keys.Service),
             table: context.get(Keys.Table),
             plainCalls: context.get(Keys.PlainCalls),
@@ -57,7 +57,7 @@
             readiness: context.get(Keys.Gate) as ReadinessSource,
             moves: context.get(Keys.Moves),
             moveOperations: context.get(Keys.MoveOperations),
-            clocks: context.get(Keys.Clocks),
+            clocks: context.get(Keys.ClockMonitor),
             operatorTokenHash: settings.operatorTokenHash,
         })
     );
--- a/src/node/bindings/plainDeployment.ts
+++ b/src/node/bindings/plainDeployment.ts
@@ -13,7 +13,7 @@
 import { DecodedMove, MoveAccount, moveAccountSchema, MoveAccountStore, VersionMoveDecoder } from "../../versions/types.js";
 import { GatewayKeys as Keys } from "../gatewayKeys.js";
 
-/** Reads configurations in the product's own form. */
+/** Decodes route configurations in the default format. */
 export class PlainConfigurationDecoder implements ConfigurationDecoder {
     readonly objectName = routesObjectName;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/** Reads endpoints' entries in the product's own form. */
+/** Decodes endpoint entries in the default format. */
 export class PlainEndpointDecoder implements EndpointDecoder {
     readonly prefix = "endpoints/";
 
@@ -45,21 +45,21 @@
             return Err(listIssues(parsed.error).join("; "));
         }
         if (object.name !== this.prefix + parsed.data.id) {
-            return Err(`the entry names endpoint ${parsed.data.id}`);
+            return Err(`the object name does not match its endpoint id ${parsed.data.id}`);
         }
         return Ok(parsed.data);
     }
 }
 
-const plainMoveSchema = z.object({
+const defaultMoveSchema = z.object({
     service: z.string().min(1),
     target: z.string().min(1),
-    /** Milliseconds. */
+    /** In milliseconds. */
     duration: z.number().positive(),
     account: moveAccountSchema.optional(),
 });
 
-/** Reads orders of version moves in the product's own form, where the account stands in the order. */
+/** Decodes version move orders in the default format, which stores the move's account in the same object as the order. */
 export class PlainVersionMoves implements VersionMoveDecoder, MoveAccountStore {
     readonly prefix = "version-moves/";
 
@@ -70,7 +70,7 @@
     }
 
     decodeMove(object: StoredObject): Result<DecodedMove, string> {
-        const parsed = plainMoveSchema.safeParse(object.value);
+        const parsed = defaultMoveSchema.safeParse(object.value);
         if (!parsed.success) {
             return Err(listIssues(parsed.error).join("; "));
         }
@@ -79,13 +79,13 @@
     }
 
     writeAccount(object: StoredObject, account: MoveAccount): Promise<Result<number, WriteFailure>> {
-        const value = { ...plainMoveSchema.parse(object.value), account };
+        const value = { ...defaultMoveSchema.parse(object.value), account };
         return this.store.replaceObject(object.name, value, object.revision);
     }
 }
 
-/** Binds the product's own forms and headers on a store. */
-export function addPlainBindings(container: Container, store: ObjectStore): void {
+/** Binds the default object formats and call protocol on `store`, without a duty API. */
+export function addDefaultDeploymentBindings(container: Container, store: ObjectStore): void {
     container.bind(Keys.Store).toConstantValue(store);
     const moves = PlainVersionMoves.create(store);
     container.bind(Keys.VersionMoveDecoder).toConstantValue(moves);
--- a/src/node/bindings/requestBindings.ts
+++ b/src/node/bindings/requestBindings.ts
@@ -25,7 +25,7 @@
 import { Keys } from "../keys.js";
 import { PeerRequests } from "../peerRequests.js";
 
-/** Binds the data path. */
+/** Binds the components that queue, route, run and record requests. */
 export function addRequestBindings(container: Container, settings: NodeSettings): void {
     container.bind(Keys.ModelClient).toDynamicValue(() => HttpModelEndpointClient.create());
     container.bind(Keys.PlainClient).toDynamicValue(() => HttpPlainEndpointClient.create());
@@ -128,7 +128,7 @@
             owner: context.get(Keys.Directory).identity,
         })
     );
-    container.bind(Keys.HandOver).toDynamicValue(context =>
+    container.bind(Keys.RequestHandover).toDynamicValue(context =>
         HandOver.create(
             context.get(Keys.Table),
             context.get(Keys.Directory),
--- a/src/node/composition.ts
+++ b/src/node/composition.ts
@@ -7,7 +7,7 @@
 import { addRequestBindings } from "./bindings/requestBindings.js";
 import { Keys } from "./keys.js";
 
-/** Binds every part of a node. Tests and benches replace single bindings before the node is created. */
+/** Creates the dependency injection container of a node. Tests and benchmarks replace single bindings before they create the node from it. */
 export function createNodeContainer(settings: NodeSettings): Container {
     const container = new Container({ defaultScope: "Singleton" });
     container.bind(Keys.Settings).toConstantValue(settings);
--- a/src/node/corianderNode.ts
+++ b/src/node/corianderNode.ts
@@ -4,33 +4,33 @@
 import { createNodeContainer } from "./composition.js";
 import { Keys } from "./keys.js";
 
-/** Time between two looks at whether the running requests have ended, in milliseconds. */
+/** Interval at which the shutdown polls whether all active requests have ended. */
 const drainPollMilliseconds = 25;
-/** Part of the drain limit that is kept for handing requests over, in milliseconds. */
-const handOverMilliseconds = 3_000;
-/** Time that callers get to read the last events after a handover, in milliseconds. */
-const lastEventsMilliseconds = 500;
+/** Part of the drain limit that is reserved for handing the remaining requests over to peers. */
+const handoverReserveMilliseconds = 3_000;
+/** Time for callers to receive the final events of their streams after a handover. */
+const finalEventsMilliseconds = 500;
 
-/** The addresses on which a node listens. */
+/** Bound listener addresses of a node. */
 export interface NodeAddresses {
     readonly callers: NetworkAddress;
     readonly peers: NetworkAddress;
     readonly operators: NetworkAddress;
 }
 
-/** A whole node. One process can hold several. */
+/** Starts and stops the listeners and background tasks of a node. One process can run several nodes. */
 export class CorianderNode {
     private addresses: NodeAddresses | undefined;
     private isStopped = false;
 
     private constructor(readonly settings: NodeSettings, readonly container: Container) {}
 
-    /** Creates a node from its settings, or from a container whose bindings were changed. */
+    /** Creates a node from its settings; `container` replaces the default bindings. */
     static create(settings: NodeSettings, container = createNodeContainer(settings)): CorianderNode {
         return new CorianderNode(settings, container);
     }
 
-    /** Starts the listeners and every task of the node. */
+    /** Starts the listeners and background tasks, and returns the bound addresses. */
     async start(): Promise<NodeAddresses> {
         const { container, settings } = this;
         const registry = container.get(Keys.Registry);
@@ -49,14 +49,15 @@
         return this.addresses;
     }
 
+    /** Returns the bound addresses; throws before the node has started. */
     getAddresses(): NodeAddresses {
         if (this.addresses === undefined) {
-            throw new Error("The node has not started.");
+            throw new Error("The node has no addresses before start() has completed.");
         }
         return this.addresses;
     }
 
-    /** Shuts down without cutting a request: readiness off, drain, hand over what is left, stop. */
+    /** Shuts down without interrupting requests: ends readiness, drains, hands the remaining requests over to peers, then stops. */
     async stop(): Promise<void> {
         const { container, settings } = this;
         const clock = container.get(Keys.Clock);
@@ -70,17 +71,17 @@
         void container.get(Keys.DomainLease).release();
         void container.get(Keys.FleetLease).release();
         await container.get(Keys.CallerServer).stopAccepting();
-        await this.waitForRequests(startedAt + settings.timing.drainLimit - handOverMilliseconds);
-        if (this.countOpen() > 0) {
-            await container.get(Keys.HandOver).drainRequests();
-            await clock.sleep(lastEventsMilliseconds);
+        await this.waitForRequests(startedAt + settings.timing.drainLimit - handoverReserveMilliseconds);
+        if (this.countActiveRequests() > 0) {
+            await container.get(Keys.RequestHandover).drainRequests();
+            await clock.sleep(finalEventsMilliseconds);
         }
         await this.waitForRequests(startedAt + settings.timing.drainLimit);
         await this.kill();
         container.get(Keys.Logger).info("node stopped");
     }
 
-    /** Stops at once, as a killed process does. */
+    /** Stops without draining and cancels the active requests, as if the process had been killed. */
     async kill(): Promise<void> {
         if (this.isStopped) {
             return;
@@ -97,7 +98,7 @@
         container.get(Keys.HostListKeeper).stop();
         container.get(Keys.SharedObjectKeeper).stop();
         container.get(Keys.LoadObserver).stop();
-        container.get(Keys.QuarantineKeeper).stop();
+        container.get(Keys.QuarantineReplicator).stop();
         container.get(Keys.Claims).stop();
         container.get(Keys.DomainDuty).stop();
         container.get(Keys.MoveDuty).stop();
@@ -117,32 +118,32 @@
         void container.get(Keys.SharedObjectKeeper).runWatch();
         void container.get(Keys.Exchange).runRounds();
         void container.get(Keys.LoadObserver).runRounds();
-        void container.get(Keys.QuarantineKeeper).runRounds();
+        void container.get(Keys.QuarantineReplicator).runRounds();
         void container.get(Keys.DomainLease).runRounds();
         void container.get(Keys.FleetLease).runRounds();
         void container.get(Keys.DomainDuty).runRounds();
         void container.get(Keys.MoveDuty).runRounds();
-        void this.runMemberCount();
+        void this.runNodeCountUpdates();
     }
 
-    /** Keeps the number of nodes, by which team limits are divided, in step with the directory. */
-    private async runMemberCount(): Promise<void> {
+    /** Updates the node count, by which the team limits are divided, from the member directory until the node stops. */
+    private async runNodeCountUpdates(): Promise<void> {
         const clock = this.container.get(Keys.Clock);
         const directory = this.container.get(Keys.Directory);
         while (!this.isStopped) {
-            const alive = directory.listMembers().filter(member => directory.isAlive(member) && !member.isLeaving);
-            this.container.get(Keys.Limiter).setNodeCount(alive.length + 1);
+            const activeMembers = directory.listMembers().filter(member => directory.isAlive(member) && !member.isLeaving);
+            this.container.get(Keys.Limiter).setNodeCount(activeMembers.length + 1);
             await clock.sleep(this.settings.timing.exchangeInterval);
         }
     }
 
-    private countOpen(): number {
+    private countActiveRequests(): number {
         return this.container.get(Keys.Table).countActive();
     }
 
     private async waitForRequests(until: number): Promise<void> {
         const clock = this.container.get(Keys.Clock);
-        while (this.countOpen() > 0 && clock.getMonotonicTime() < until) {
+        while (this.countActiveRequests() > 0 && clock.getMonotonicTime() < until) {
             await clock.sleep(drainPollMilliseconds);
         }
     }
--- a/src/node/gatewayKeys.ts
+++ b/src/node/gatewayKeys.ts
@@ -45,7 +45,7 @@
     return Symbol.for(`corianderward.gateway.${name}`);
 }
 
-/** The watches of a gateway's store. */
+/** Followers of the object store prefixes that a gateway watches. */
 export interface GatewayWatches {
     readonly configuration: ObjectFollower;
     readonly endpoints: ObjectFollower;
@@ -53,7 +53,7 @@
     readonly versions: ObjectFollower;
 }
 
-/** The names under which the parts of a gateway are bound. */
+/** Dependency injection keys of a gateway. */
 export const GatewayKeys = {
     Settings: createKey<GatewaySettings>("Settings"),
     Clock: createKey<Clock>("Clock"),
@@ -61,7 +61,7 @@
     Log: createKey<EventLog>("Log"),
     Tracing: createKey<HopTracing>("Tracing"),
     Metrics: createKey<GatewayMetrics>("Metrics"),
-    // What each kind of deployment binds for itself.
+    // Bound by each kind of deployment.
     Store: createKey<ObjectStore>("Store"),
     DutyApi: createKey<DutyApi | undefined>("DutyApi"),
     Protocol: createKey<CallProtocol>("Protocol"),
@@ -69,7 +69,7 @@
     EndpointDecoder: createKey<EndpointDecoder>("EndpointDecoder"),
     VersionMoveDecoder: createKey<VersionMoveDecoder>("VersionMoveDecoder"),
     MoveAccounts: createKey<MoveAccountStore>("MoveAccounts"),
-    // What is the same everywhere.
+    // Bound the same way in every kind of deployment.
     Versions: createKey<VersionMoves>("Versions"),
     VersionTraffic: createKey<VersionTraffic>("VersionTraffic"),
     Configuration: createKey<ConfigurationHolder>("Configuration"),
@@ -77,29 +77,29 @@
     Directory: createKey<EndpointDirectory>("Directory"),
     EndpointFollower: createKey<EndpointFollower>("EndpointFollower"),
     Watches: createKey<GatewayWatches>("Watches"),
-    Pacing: createKey<WatchPacing>("Pacing"),
+    Pacing: createKey<WatchPacing>("WatchPacing"),
     Peers: createKey<PeerTable>("Peers"),
     RelayPlan: createKey<RelayPlan>("RelayPlan"),
-    Loads: createKey<SharedLoads>("Loads"),
-    Sums: createKey<FleetSums>("Sums"),
+    SharedLoads: createKey<SharedLoads>("SharedLoads"),
+    FleetSums: createKey<FleetSums>("FleetSums"),
     Registry: createKey<NodeRegistry>("Registry"),
     GossipLink: createKey<GossipLink>("GossipLink"),
     Gossip: createKey<GossipExchange>("Gossip"),
-    Caps: createKey<SharedRateLimiter>("Caps"),
-    Allowance: createKey<RetryAllowance>("Allowance"),
+    SharedRateLimiter: createKey<SharedRateLimiter>("SharedRateLimiter"),
+    FleetRetryBudget: createKey<RetryAllowance>("FleetRetryBudget"),
     Ledger: createKey<QuarantineLedger>("Ledger"),
     Usage: createKey<UsageCounter>("Usage"),
     UsageLedger: createKey<UsageLedger>("UsageLedger"),
-    Work: createKey<WorkMeter>("Work"),
-    News: createKey<PlacementNews>("News"),
+    ServiceWorkTracker: createKey<WorkMeter>("ServiceWorkTracker"),
+    PlacementUpdates: createKey<PlacementNews>("PlacementUpdates"),
     EnginePlacement: createKey<EnginePlacement>("EnginePlacement"),
     CallPlacement: createKey<CallPlacement>("CallPlacement"),
     Chooser: createKey<EndpointChooser>("Chooser"),
-    Crashes: createKey<CrashWatch>("Crashes"),
+    PoisonRequestDetector: createKey<CrashWatch>("PoisonRequestDetector"),
     Connections: createKey<EndpointConnections>("Connections"),
     Forwarder: createKey<CallForwarder>("Forwarder"),
     Server: createKey<GatewayServer>("Server"),
     Lease: createKey<DutyLease>("Lease"),
     Duties: createKey<DutyRunner>("Duties"),
-    Gate: createKey<{ isLeaving: boolean; }>("Gate"),
+    ShutdownState: createKey<{ isLeaving: boolean; }>("ShutdownState"),
 };
--- a/src/node/gatewayNode.ts
+++ b/src/node/gatewayNode.ts
@@ -12,25 +12,25 @@
 import { GatewayKeys as Keys } from "./gatewayKeys.js";
 import { StatusServer } from "./statusServer.js";
 
-/** Interval at which a stopping node looks whether its requests have ended, in milliseconds. */
-const drainCheckMilliseconds = 50;
-/** Part of the drain limit after which requests that are still open are cut off; the rest is for closing. */
-const drainShare = 0.93;
+/** Interval at which the shutdown polls whether all open calls have ended. */
+const drainPollMilliseconds = 50;
+/** Share of the drain limit after which calls that are still open are closed; the rest is reserved for the cleanup. */
+const drainWaitShare = 0.93;
 
-/** Longest time for telling peers the last counts, in milliseconds: a peer that is cut off must not hold up the end of the process. */
-const lastNewsMilliseconds = 300;
+/** Time limit for sending the final usage counts to peers: an unreachable peer must not delay the end of the process. */
+const finalExchangeMilliseconds = 300;
 
-/** Binds what a kind of deployment brings of its own. */
+/** Adds the bindings that are specific to a kind of deployment, such as its store and call protocol. */
 export type DeploymentBindings = (container: Container, settings: GatewaySettings) => void;
 
-/** The addresses on which a gateway listens. */
+/** Bound listener addresses of a gateway. */
 export interface GatewayAddresses {
     readonly callers: NetworkAddress;
     readonly readiness: NetworkAddress;
     readonly peers: NetworkAddress;
 }
 
-/** A gateway: a node that serves callers by routes, on a store that others run. */
+/** Starts and stops a gateway: a node that forwards calls by configured routes and reads its state from an external object store. */
 export class GatewayNode {
     private readonly status: StatusServer;
     private readonly peerServer: PeerServer;
@@ -50,6 +50,7 @@
         }, undefined);
     }
 
+    /** Creates a gateway. `addDeployment` binds the keys that depend on the kind of deployment. */
     static create(settings: GatewaySettings, addDeployment: DeploymentBindings, tracing: HopTracing = NoTracing.create()): GatewayNode {
         const container = new Container({ defaultScope: "Singleton" });
         container.bind(Keys.Tracing).toConstantValue(tracing);
@@ -58,18 +59,18 @@
         return new GatewayNode(settings, container);
     }
 
-    /** Whether the node can serve callers: it knows the configuration and the endpoints, and is not leaving. */
+    /** Returns whether the gateway can serve callers: it has a configuration and at least one endpoint, and is not shutting down. */
     isReady(): boolean {
         const { container } = this;
         const hasConfiguration = container.get(Keys.Configuration).getTable() !== undefined;
         const hasEndpoints = container.get(Keys.Directory).listAll().length > 0;
-        return hasConfiguration && hasEndpoints && !container.get(Keys.Gate).isLeaving;
+        return hasConfiguration && hasEndpoints && !container.get(Keys.ShutdownState).isLeaving;
     }
 
-    /** Starts the listeners and every task. */
+    /** Starts the listeners and background tasks, and returns the bound addresses. */
     async start(): Promise<GatewayAddresses> {
         const { container, settings } = this;
-        this.observeBeliefs();
+        this.observeStateChanges();
         const peers = await this.peerServer.start(settings.peersListen);
         const callers = await container.get(Keys.Server).start(settings.callers);
         const readiness = await this.status.startReadiness(settings.readiness);
@@ -99,12 +100,12 @@
         return { callers, readiness, peers };
     }
 
-    /** Takes over changed settings: seeds at once; what a listener or a task was started with stays until the next start. */
+    /** Applies the changed gossip seeds at once. All other settings require a restart, since listeners and tasks have read them at startup. */
     applySettings(settings: GatewaySettings): void {
         this.container.get(Keys.Gossip).setSeeds(settings.seeds);
     }
 
-    /** Stops gracefully: leaves the rotation, finishes what was read, hands the duties on. */
+    /** Shuts down gracefully: ends readiness, releases the duty lease, and waits for open calls before it closes their connections. */
     async stop(): Promise<void> {
         const { container, settings } = this;
         const { timing } = settings;
@@ -113,19 +114,19 @@
         const log = container.get(Keys.Log);
         const stoppedAt = clock.getMonotonicTime();
         log.log(LogEvents.ProcessStopping, { openCalls: server.countOpenCalls() });
-        container.get(Keys.Gate).isLeaving = true;
+        container.get(Keys.ShutdownState).isLeaving = true;
         server.startDraining();
         container.get(Keys.Duties).stop();
         void container.get(Keys.Lease).release().then(() => container.get(Keys.Gossip).publishNow());
         await clock.sleep(timing.listenerGrace);
         server.closeIdle();
-        const cutAt = stoppedAt + timing.drainLimit * drainShare;
-        while (server.countOpenCalls() > 0 && clock.getMonotonicTime() < cutAt) {
-            await clock.sleep(drainCheckMilliseconds);
+        const forcedCloseAt = stoppedAt + timing.drainLimit * drainWaitShare;
+        while (server.countOpenCalls() > 0 && clock.getMonotonicTime() < forcedCloseAt) {
+            await clock.sleep(drainPollMilliseconds);
             server.closeIdle();
         }
-        // What it counted last would be missing in the usage reports.
-        await Promise.race([container.get(Keys.Gossip).publishNow(), clock.sleep(lastNewsMilliseconds)]);
+        // Without this exchange the most recent counts would be missing from the usage reports.
+        await Promise.race([container.get(Keys.Gossip).publishNow(), clock.sleep(finalExchangeMilliseconds)]);
         log.log(LogEvents.ProcessStopped, { cutOff: server.countOpenCalls() });
         this.stopTasks();
         server.closeAll();
@@ -146,8 +147,8 @@
         void this.peerServer.stop();
     }
 
-    /** Lets changes of what the node believes reach the parts that act on them. */
-    private observeBeliefs(): void {
+    /** Updates metrics, connections, the poison request detector and the log when the configuration or the endpoint directory changes. */
+    private observeStateChanges(): void {
         const { container } = this;
         const log = container.get(Keys.Log);
         const metrics = container.get(Keys.Metrics);
@@ -156,7 +157,7 @@
         container.get(Keys.Directory).addListener(change => {
             const { entry } = change.endpoint;
             if (change.kind === DirectoryChangeKind.Reborn || change.kind === DirectoryChangeKind.Removed) {
-                container.get(Keys.Crashes).recordDeath(change.previous ?? change.endpoint);
+                container.get(Keys.PoisonRequestDetector).recordDeath(change.previous ?? change.endpoint);
             }
             if (change.kind === DirectoryChangeKind.Removed || change.previous !== undefined) {
                 connections.removeEndpoint(change.previous ?? change.endpoint);
--- a/src/node/keys.ts
+++ b/src/node/keys.ts
@@ -55,7 +55,7 @@
     return Symbol.for(`corianderward.${name}`);
 }
 
-/** The names under which the parts of a node are bound. */
+/** Dependency injection keys of a node. */
 export const Keys = {
     Settings: createKey<NodeSettings>("Settings"),
     Clock: createKey<Clock>("Clock"),
@@ -75,8 +75,8 @@
     Limiter: createKey<TeamLimiter>("Limiter"),
     Digests: createKey<NodeDigests>("Digests"),
     Exchange: createKey<ExchangeLoop>("Exchange"),
-    HostListKeeper: createKey<HostListKeeper>("HostListKeeper"),
-    SharedObjectKeeper: createKey<SharedObjectKeeper>("SharedObjectKeeper"),
+    HostListKeeper: createKey<HostListKeeper>("HostListSynchronizer"),
+    SharedObjectKeeper: createKey<SharedObjectKeeper>("SharedObjectReplicator"),
     ModelClient: createKey<ModelEndpointClient>("ModelClient"),
     PlainClient: createKey<PlainEndpointClient>("PlainClient"),
     PrefixIndex: createKey<PrefixIndex>("PrefixIndex"),
@@ -90,9 +90,9 @@
     WeightStore: createKey<WeightStore | undefined>("WeightStore"),
     Objects: createKey<SharedObjects>("Objects"),
     ConfigurationConsumer: createKey<ConfigurationConsumer>("ConfigurationConsumer"),
-    QuarantineKeeper: createKey<QuarantineKeeper>("QuarantineKeeper"),
-    Clocks: createKey<ClockMonitor>("Clocks"),
-    Moves: createKey<MoveKeeper>("Moves"),
+    QuarantineReplicator: createKey<QuarantineKeeper>("QuarantineReplicator"),
+    ClockMonitor: createKey<ClockMonitor>("ClockMonitor"),
+    Moves: createKey<MoveKeeper>("MoveController"),
     MoveDuty: createKey<MoveDuty>("MoveDuty"),
     MoveOperations: createKey<MoveOperations>("MoveOperations"),
     DomainLease: createKey<LeaseKeeper>("DomainLease"),
@@ -104,7 +104,7 @@
     PeerRequests: createKey<PeerRequests>("PeerRequests"),
     LoadObserver: createKey<LoadObserver>("LoadObserver"),
     StreamMover: createKey<StreamMover>("StreamMover"),
-    HandOver: createKey<HandOver>("HandOver"),
+    RequestHandover: createKey<HandOver>("RequestHandover"),
     Gate: createKey<NodeGate>("Gate"),
     PeerHandler: createKey<PeerHandler>("PeerHandler"),
     PeerServer: createKey<PeerServer>("PeerServer"),
@@ -112,7 +112,7 @@
     OperatorServer: createKey<OperatorServer>("OperatorServer"),
 };
 
-/** Replaces the binding of a part by a value. */
+/** Replaces the binding of `key` by a constant value. */
 export function replaceBinding<T>(container: Container, key: ServiceIdentifier<T>, value: T): void {
     container.unbind(key);
     container.bind(key).toConstantValue(value);
--- a/src/node/nodeDigests.ts
+++ b/src/node/nodeDigests.ts
@@ -12,21 +12,23 @@
 import { EndpointEntry, EndpointRegistry } from "../requests/endpointRegistry.js";
 import { QuarantineLedger } from "../requests/quarantineLedger.js";
 
-/** Most entries of each kind in one digest; bounds its bytes. */
-const loadLimit = 12;
-const memberLimit = 8;
-const quarantineLimit = 32;
-const demandLimit = 8;
-const revisionLimit = 64;
-/** Time for which a change of the revisions is told in every digest, in milliseconds; later in one digest of several. */
-const revisionNewsMilliseconds = 5_000;
-const revisionEvery = 8;
-/** Age from which a load is no longer passed on, in milliseconds. */
+// Entry limits of one digest; they bound its size in bytes.
+const loadEntryLimit = 12;
+const memberEntryLimit = 8;
+const quarantineEntryLimit = 32;
+const demandEntryLimit = 8;
+const revisionEntryLimit = 64;
+/** Time after a change for which every digest contains the revisions. */
+const recentRevisionMilliseconds = 5_000;
+/** After that time, on average one digest of this many contains the revisions. */
+const revisionDigestInterval = 8;
+/** Age from which a load report is omitted from digests. */
 const loadAgeLimitMilliseconds = 3_000;
-const demandUnit = 1_000;
+/** Digests carry the demand in requests per kilosecond, so that small rates remain integers. */
+const secondsPerKilosecond = 1_000;
 
-/** The parts of a node whose state travels in digests. */
-export interface NodeDigestParts {
+/** Dependencies of the digests: the node state that they contain and that received digests update. */
+export interface NodeDigestDependencies {
     readonly clock: Clock;
     readonly random: RandomSource;
     readonly directory: MemberDirectory;
@@ -39,29 +41,29 @@
     readonly moves: MoveEvidenceExchange;
 }
 
-/** Builds the node's digests and takes over those of its peers. */
+/** Builds the digests that this node sends to its peers, and merges those that it receives. */
 export class NodeDigests implements DigestExchange {
-    private keeper: SharedObjectKeeper | undefined;
+    private replicator: SharedObjectKeeper | undefined;
     private isLeaving = false;
 
-    private constructor(private readonly parts: NodeDigestParts) {}
+    private constructor(private readonly dependencies: NodeDigestDependencies) {}
 
-    static create(parts: NodeDigestParts): NodeDigests {
-        return new NodeDigests(parts);
+    static create(dependencies: NodeDigestDependencies): NodeDigests {
+        return new NodeDigests(dependencies);
     }
 
-    /** Sets the keeper that learns of newer revisions; it is created after the digests. */
-    setKeeper(keeper: SharedObjectKeeper): void {
-        this.keeper = keeper;
+    /** Sets the replicator that fetches newer revisions reported by peers. Separate from `create`, since the replicator depends on the digests. */
+    setKeeper(replicator: SharedObjectKeeper): void {
+        this.replicator = replicator;
     }
 
-    /** Tells the peers from now on that this node leaves. */
+    /** Reports this node as leaving in all later digests. */
     markLeaving(): void {
         this.isLeaving = true;
     }
 
     createDigest(): NodeDigestInit {
-        const { directory, objects, store, clock, moves } = this.parts;
+        const { directory, objects, store, clock, moves } = this.dependencies;
         const { identity } = directory;
         return {
             node: identity.name,
@@ -83,7 +85,7 @@
     }
 
     applyDigest(digest: NodeDigest): boolean {
-        const { directory, moves } = this.parts;
+        const { directory, moves } = this.dependencies;
         const isCurrent = directory.recordBeat(digest.node, Number(digest.incarnation), 0, digest.leaving);
         const member = directory.findMember(digest.node);
         if (!isCurrent || member === undefined) {
@@ -93,41 +95,41 @@
         for (const entry of digest.revisions) {
             member.revisions.set(entry.name, Number(entry.revision));
         }
-        this.parts.clocks.recordSendTime(digest.node, Number(digest.sentAtMilliseconds));
-        member.toldAt = this.parts.clock.getMonotonicTime();
-        for (const beat of digest.members) {
-            directory.recordBeat(beat.node, Number(beat.incarnation), beat.ageMilliseconds, beat.leaving);
+        this.dependencies.clocks.recordSendTime(digest.node, Number(digest.sentAtMilliseconds));
+        member.toldAt = this.dependencies.clock.getMonotonicTime();
+        for (const heartbeat of digest.members) {
+            directory.recordBeat(heartbeat.node, Number(heartbeat.incarnation), heartbeat.ageMilliseconds, heartbeat.leaving);
         }
         this.applyLoads(digest);
-        const hasUrgentNews = this.applyQuarantines(digest);
+        const hasUrgentUpdate = this.applyQuarantines(digest);
         for (const demand of digest.demands) {
-            this.parts.limiter.recordOtherDemand(demand.team, digest.node, demand.requestsPerKilosecond / demandUnit);
+            this.dependencies.limiter.recordOtherDemand(demand.team, digest.node, demand.requestsPerKilosecond / secondsPerKilosecond);
         }
         moves.applyEvidence(digest.evidence);
-        const hasTakeBack = moves.applyGrants(digest.grants);
-        this.keeper?.applyDigest(digest);
-        return hasUrgentNews || hasTakeBack;
+        const hasRollback = moves.applyGrants(digest.grants);
+        this.replicator?.applyDigest(digest);
+        return hasUrgentUpdate || hasRollback;
     }
 
-    /** Lists the revisions in force while they are news, and now and then after. */
+    /** Lists the current revisions: always after a recent change, otherwise in a random share of the digests. */
     private createRevisions(): NodeDigestInit["revisions"] {
-        const { objects, clock, random } = this.parts;
-        const isNews = clock.getMonotonicTime() - objects.getChangeTime() < revisionNewsMilliseconds;
-        if (!isNews && random.pickIndex(revisionEvery) !== 0) {
+        const { objects, clock, random } = this.dependencies;
+        const hasRecentChange = clock.getMonotonicTime() - objects.getChangeTime() < recentRevisionMilliseconds;
+        if (!hasRecentChange && random.pickIndex(revisionDigestInterval) !== 0) {
             return [];
         }
-        return objects.listObjects().slice(-revisionLimit).map(object => ({ name: object.name, revision: BigInt(object.revision) }));
+        return objects.listObjects().slice(-revisionEntryLimit).map(object => ({ name: object.name, revision: BigInt(object.revision) }));
     }
 
     private createLoads(): NodeDigestInit["loads"] {
-        const { registry, clock, directory } = this.parts;
+        const { registry, clock, directory } = this.dependencies;
         const now = clock.getMonotonicTime();
-        const fresh = registry.listEntries().filter(entry => {
-            const isOwn = entry.description.failureDomain === directory.identity.failureDomain;
-            return isOwn && (now - entry.loadAt < loadAgeLimitMilliseconds || entry.state === EndpointState.Leaving);
+        const reportable = registry.listEntries().filter(entry => {
+            const isLocal = entry.description.failureDomain === directory.identity.failureDomain;
+            return isLocal && (now - entry.loadAt < loadAgeLimitMilliseconds || entry.state === EndpointState.Leaving);
         });
-        fresh.sort((left, right) => right.loadAt - left.loadAt);
-        return fresh.slice(0, loadLimit).map(entry => ({
+        reportable.sort((left, right) => right.loadAt - left.loadAt);
+        return reportable.slice(0, loadEntryLimit).map(entry => ({
             endpoint: entry.number,
             running: entry.load?.running ?? 0,
             waiting: entry.load?.waiting ?? 0,
@@ -141,10 +143,10 @@
         if (digest.loads.length === 0) {
             return;
         }
-        const { registry } = this.parts;
-        const byNumber = new Map<number, EndpointEntry>(registry.listEntries().map(entry => [entry.number, entry]));
+        const { registry } = this.dependencies;
+        const entriesByNumber = new Map<number, EndpointEntry>(registry.listEntries().map(entry => [entry.number, entry]));
         for (const load of digest.loads) {
-            const entry = byNumber.get(load.endpoint);
+            const entry = entriesByNumber.get(load.endpoint);
             if (entry === undefined) {
                 continue;
             }
@@ -167,37 +169,37 @@
     }
 
     private createQuarantines(): NodeDigestInit["quarantines"] {
-        // Those with more deaths first: a quarantine must not be crowded out by the requests that died beside it.
-        const records = this.parts.ledger.listRecords().reverse();
+        // Most crashes first: requests that ran on a crashed endpoint by chance must not displace a quarantined one.
+        const records = this.dependencies.ledger.listRecords().reverse();
         records.sort((left, right) => right.endpoints.length - left.endpoints.length);
-        return records.slice(0, quarantineLimit).map(record => ({
+        return records.slice(0, quarantineEntryLimit).map(record => ({
             fingerprint: record.fingerprint,
             endpoints: [...record.endpoints],
             untilMilliseconds: BigInt(record.until),
         }));
     }
 
-    /** Takes over a peer's knowledge of requests that end endpoints; returns whether any of it was new. */
+    /** Merges a peer's crash records of poison requests; returns whether any of them was new. */
     private applyQuarantines(digest: NodeDigest): boolean {
-        let hasNews = false;
+        let hasNewRecord = false;
         for (const record of digest.quarantines) {
-            const isNew = this.parts.ledger.mergeRecord({
+            const isNew = this.dependencies.ledger.mergeRecord({
                 fingerprint: record.fingerprint,
                 endpoints: record.endpoints,
                 until: Number(record.untilMilliseconds),
             });
-            hasNews = hasNews || isNew;
+            hasNewRecord = hasNewRecord || isNew;
         }
-        return hasNews;
+        return hasNewRecord;
     }
 
     private createMembers(): NodeDigestInit["members"] {
-        const { directory, clock, random } = this.parts;
+        const { directory, clock, random } = this.dependencies;
         const now = clock.getMonotonicTime();
-        const alive = directory.listDomainMembers().filter(member => directory.isAlive(member));
-        const chosen = alive.length <= memberLimit
-            ? alive
-            : Array.from({ length: memberLimit }, () => alive[random.pickIndex(alive.length)]);
+        const reachable = directory.listDomainMembers().filter(member => directory.isAlive(member));
+        const chosen = reachable.length <= memberEntryLimit
+            ? reachable
+            : Array.from({ length: memberEntryLimit }, () => reachable[random.pickIndex(reachable.length)]);
         return chosen.filter(member => member !== undefined).map(member => ({
             node: member.name,
             incarnation: BigInt(member.incarnation),
@@ -207,11 +209,11 @@
     }
 
     private createDemands(): NodeDigestInit["demands"] {
-        const demands = this.parts.limiter.listDemands();
+        const demands = this.dependencies.limiter.listDemands();
         demands.sort((left, right) => right.demand - left.demand);
-        return demands.slice(0, demandLimit).map(entry => ({
+        return demands.slice(0, demandEntryLimit).map(entry => ({
             team: entry.team,
-            requestsPerKilosecond: Math.round(entry.demand * demandUnit),
+            requestsPerKilosecond: Math.round(entry.demand * secondsPerKilosecond),
         }));
     }
 }
--- a/src/node/nodeGate.ts
+++ b/src/node/nodeGate.ts
@@ -3,9 +3,9 @@
 import { HostListKeeper } from "../control/commands/hostListKeeper.js";
 import { ReadinessSource } from "../operators/types.js";
 
-/** Says whether the node is ready for traffic and whether it still accepts requests. */
+/** Decides whether the node reports itself as ready and whether it accepts requests. Readiness ends before acceptance during a shutdown. */
 export class NodeGate implements AcceptanceGate, ReadinessSource {
-    private isReadinessOff = false;
+    private isReadinessEnded = false;
     private isClosed = false;
 
     private constructor(private readonly configuration: ConfigurationSet, private readonly hosts: HostListKeeper) {}
@@ -22,7 +22,7 @@
         if (!this.hosts.hasHosts()) {
             reasons.push("no host list");
         }
-        if (this.isReadinessOff) {
+        if (this.isReadinessEnded) {
             reasons.push("shutting down");
         }
         return reasons;
@@ -32,12 +32,12 @@
         return !this.isClosed;
     }
 
-    /** Tells the balancer to send no more traffic; requests that still come are accepted. */
+    /** Reports the node as not ready, so that the load balancer stops routing to it. Requests that still arrive are accepted. */
     endReadiness(): void {
-        this.isReadinessOff = true;
+        this.isReadinessEnded = true;
     }
 
-    /** Refuses requests from now on. */
+    /** Refuses all later requests. */
     close(): void {
         this.isClosed = true;
     }
--- a/src/node/nodePeerHandler.ts
+++ b/src/node/nodePeerHandler.ts
@@ -26,13 +26,13 @@
 import { RequestTable } from "../requests/requestTable.js";
 import { ModelRequest, RequestOutcome } from "../requests/types.js";
 
-/** The parts of a node that its peers call on. */
-export interface NodePeerHandlerParts {
+/** Dependencies of the peer handler. */
+export interface NodePeerHandlerDependencies {
     readonly clock: Clock;
     readonly tracing: Tracing;
     readonly configuration: ConfigurationSet;
     readonly digests: DigestExchange;
-    readonly keeper: SharedObjectKeeper;
+    readonly replicator: SharedObjectKeeper;
     readonly service: RequestService;
     readonly table: RequestTable;
     readonly plainCalls: PlainCallRunner;
@@ -40,71 +40,71 @@
     readonly notifier: UrgentNotifier;
 }
 
-/** What this node does when a peer calls it. */
+/** Handles the calls that peers make to this node: digests, shared objects, request handover, streams and forwarded calls. */
 export class NodePeerHandler implements PeerHandler {
-    private constructor(private readonly parts: NodePeerHandlerParts) {}
+    private constructor(private readonly dependencies: NodePeerHandlerDependencies) {}
 
-    static create(parts: NodePeerHandlerParts): NodePeerHandler {
-        return new NodePeerHandler(parts);
+    static create(dependencies: NodePeerHandlerDependencies): NodePeerHandler {
+        return new NodePeerHandler(dependencies);
     }
 
     async handleExchange(digest: NodeDigest): Promise<NodeDigestInit> {
-        const hasUrgentNews = this.parts.digests.applyDigest(digest);
-        if (hasUrgentNews) {
-            // The sender waits for this answer before it lets the request go on: by then the whole domain knows.
-            await this.parts.notifier.sendUrgentDigest();
+        const hasUrgentUpdate = this.dependencies.digests.applyDigest(digest);
+        if (hasUrgentUpdate) {
+            // The sender continues the request only after this response, so that all nodes of the failure domain have the crash record by then.
+            await this.dependencies.notifier.sendUrgentDigest();
         }
-        return this.parts.digests.createDigest();
+        return this.dependencies.digests.createDigest();
     }
 
     createSharedObjectsAnswer(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit {
-        return this.parts.keeper.createAnswer(known);
+        return this.dependencies.replicator.createAnswer(known);
     }
 
     async adoptRequest(message: AdoptRequestRequest): Promise<boolean> {
-        if (!this.parts.gate.isAccepting()) {
+        if (!this.dependencies.gate.isAccepting()) {
             return false;
         }
         const stored = storedRequestSchema.safeParse(JSON.parse(message.requestJson));
-        if (!stored.success || this.parts.table.findRecord(message.requestId)?.getEnd()?.outcome === RequestOutcome.Finished) {
+        if (!stored.success || this.dependencies.table.findRecord(message.requestId)?.getEnd()?.outcome === RequestOutcome.Finished) {
             return false;
         }
-        return this.parts.service.adoptRequest(decodeRequest(stored.data), message.tokens);
+        return this.dependencies.service.adoptRequest(decodeRequest(stored.data), message.tokens);
     }
 
     async *followRequest(requestId: string, offset: number, signal: AbortSignal): AsyncIterable<FollowRequestEventInit> {
-        const record = this.parts.table.findRecord(requestId);
+        const record = this.dependencies.table.findRecord(requestId);
         if (record === undefined || record.getEnd()?.outcome === RequestOutcome.HandedOver) {
             return;
         }
-        this.parts.service.addReader(record);
+        this.dependencies.service.addReader(record);
         try {
-            // The first event shows that the request is known, and whose it is.
-            yield { event: { case: "start", value: { requestJson: JSON.stringify(createFollowHead(record.request)) } } };
-            let sent = offset;
+            // The first event confirms that this node has the request, and names its team.
+            yield { event: { case: "start", value: { requestJson: JSON.stringify(createRequestHead(record.request)) } } };
+            let nextIndex = offset;
             while (!signal.aborted) {
-                for (; sent < record.tokens.length; sent += 1) {
-                    yield { event: { case: "token", value: { index: sent, text: record.tokens[sent] as string } } };
+                for (; nextIndex < record.tokens.length; nextIndex += 1) {
+                    yield { event: { case: "token", value: { index: nextIndex, text: record.tokens[nextIndex] as string } } };
                 }
                 const end = record.getEnd();
                 if (end !== undefined) {
                     yield createEndEvent(record);
                     return;
                 }
-                await record.waitForChange(sent, signal);
+                await record.waitForChange(nextIndex, signal);
             }
         }
         finally {
-            this.parts.service.removeReader(record);
+            this.dependencies.service.removeReader(record);
         }
     }
 
     async forwardCall(call: ForwardCallRequest): Promise<ForwardCallResponseInit> {
-        const service = this.parts.configuration.findService(call.service);
-        if (service === undefined || !this.parts.gate.isAccepting()) {
-            return createRefusal(Diagnostics.Service_0_is_not_declared.code, "the peer cannot take the call");
+        const service = this.dependencies.configuration.findService(call.service);
+        if (service === undefined || !this.dependencies.gate.isAccepting()) {
+            return createRefusal(Diagnostics.Service_0_is_not_declared.code, "the peer does not declare the service or is shutting down");
         }
-        const span = this.parts.tracing.startSpanFromHeaders("forwarded call", { traceparent: call.traceparent });
+        const span = this.dependencies.tracing.startSpanFromHeaders("forwarded call", { traceparent: call.traceparent });
         const history = RequestHistory.create();
         const body = Buffer.from(call.body);
         const request = {
@@ -117,10 +117,10 @@
             idempotencyKey: call.idempotencyKey === "" ? undefined : call.idempotencyKey,
             body,
             deadline: Number(call.deadlineMilliseconds),
-            arrivedAt: this.parts.clock.getWallTime(),
+            arrivedAt: this.dependencies.clock.getWallTime(),
             fingerprint: hashCall(call.service, call.method, call.path, body),
         };
-        const result = await this.parts.plainCalls.runCall(request, service, history, span, new AbortController().signal, true);
+        const result = await this.dependencies.plainCalls.runCall(request, service, history, span, new AbortController().signal, true);
         span.end();
         if (result.err) {
             return { ...createRefusal(result.val.message.code, result.val.text), verdict: result.val.verdict };
@@ -135,7 +135,7 @@
     }
 
     describeRequest(requestId: string): string | undefined {
-        const explanation = this.parts.table.findExplanation(requestId);
+        const explanation = this.dependencies.table.findExplanation(requestId);
         return explanation === undefined ? undefined : JSON.stringify(explanation);
     }
 }
@@ -144,7 +144,7 @@
     return { status: 0, verdict: Verdict.NotRun, failureCode: code, failureText: text };
 }
 
-function createFollowHead(request: ModelRequest): unknown {
+function createRequestHead(request: ModelRequest): unknown {
     return { team: request.team, service: request.service, is_chat: request.isChat, arrived_at: request.arrivedAt };
 }
 
--- a/src/node/peerRequests.ts
+++ b/src/node/peerRequests.ts
@@ -14,18 +14,18 @@
 import { RequestHistory, RequestRecord } from "../requests/requestRecord.js";
 import { PlainRequest, RequestOutcome } from "../requests/types.js";
 
-/** Peers asked for one request. */
-const followTries = 16;
-/** Peers asked to take one call. */
-const forwardTries = 3;
-/** Time for which the first event of a followed request is awaited, in milliseconds. */
+/** Maximum number of peers that are queried for one request. */
+const followPeerLimit = 16;
+/** Maximum number of peers to which one call is forwarded in turn. */
+const forwardPeerLimit = 3;
+/** Time limit for the first event of a followed request. */
 const firstEventMilliseconds = 1_000;
-/** Added to the call's own time limit for the hop, in milliseconds. */
-const forwardMarginMilliseconds = 500;
+/** Margin for the hop to the peer, added to the remaining time of the call. */
+const forwardHopMarginMilliseconds = 500;
 
-const headSchema = z.object({ team: z.string(), service: z.string(), is_chat: z.boolean(), arrived_at: z.number() });
+const requestHeadSchema = z.object({ team: z.string(), service: z.string(), is_chat: z.boolean(), arrived_at: z.number() });
 
-/** Reads requests that other nodes own, and hands calls to nodes that reach the platform. */
+/** Follows requests that run on other nodes, and forwards plain calls to peers that can reach the platform. */
 export class PeerRequests implements RemoteRequests, CallForwarder {
     private constructor(
         private readonly directory: MemberDirectory,
@@ -39,10 +39,13 @@
     }
 
     async followRequest(requestId: string, offset: number): Promise<RequestRecord | undefined> {
-        const inDomain = selectByRendezvous(requestId, this.directory.listDomainMembers(), member => member.name);
-        const elsewhere = this.directory.listMembers().filter(member => !inDomain.includes(member));
-        const members = [...inDomain, ...elsewhere].filter(member => this.directory.isAlive(member)).slice(0, followTries);
-        const found = await Promise.all(members.map(member => this.followAt(member, requestId, offset)));
+        const sameDomainMembers = selectByRendezvous(requestId, this.directory.listDomainMembers(), member => member.name);
+        const otherDomainMembers = this.directory.listMembers().filter(member => !sameDomainMembers.includes(member));
+        const members = [...sameDomainMembers, ...otherDomainMembers].filter(member => this.directory.isAlive(member)).slice(
+            0,
+            followPeerLimit,
+        );
+        const found = await Promise.all(members.map(member => this.followOnPeer(member, requestId, offset)));
         return found.find(record => record !== undefined);
     }
 
@@ -50,9 +53,9 @@
         const reachable = this.directory.listMembers().filter(member =>
             this.directory.isAlive(member) && !member.isLeaving && member.platformReachable
         );
-        const ownFirst = reachable.sort((left, right) => this.getDistance(left) - this.getDistance(right));
-        for (const member of ownFirst.slice(0, forwardTries)) {
-            const result = await this.forwardTo(member, request, history);
+        const nearestFirst = reachable.sort((left, right) => this.getDomainRank(left) - this.getDomainRank(right));
+        for (const member of nearestFirst.slice(0, forwardPeerLimit)) {
+            const result = await this.forwardToPeer(member, request, history);
             if (result.ok || result.val.verdict !== Verdict.NotRun) {
                 return result;
             }
@@ -60,13 +63,14 @@
         return undefined;
     }
 
-    private getDistance(member: Member): number {
+    /** Returns 0 for members of the local failure domain and 1 for all others. */
+    private getDomainRank(member: Member): number {
         return member.failureDomain === this.directory.identity.failureDomain ? 0 : 1;
     }
 
-    private async forwardTo(member: Member, request: PlainRequest, history: RequestHistory): Promise<Result<PlainCallResult, Failure>> {
+    private async forwardToPeer(member: Member, request: PlainRequest, history: RequestHistory): Promise<Result<PlainCallResult, Failure>> {
         const remaining = request.deadline - this.clock.getWallTime();
-        const answer = await this.link.forwardCall(member.address, {
+        const response = await this.link.forwardCall(member.address, {
             requestId: request.id,
             team: request.team,
             service: request.service,
@@ -76,15 +80,15 @@
             contentType: request.contentType ?? "",
             body: request.body,
             deadlineMilliseconds: BigInt(Math.round(request.deadline)),
-        }, Math.max(1, remaining) + forwardMarginMilliseconds);
+        }, Math.max(1, remaining) + forwardHopMarginMilliseconds);
         history.hops.push(member.name);
-        if (answer.err) {
-            return answer;
+        if (response.err) {
+            return response;
         }
-        return readForwardAnswer(answer.val);
+        return readForwardResponse(response.val);
     }
 
-    private async followAt(member: Member, requestId: string, offset: number): Promise<RequestRecord | undefined> {
+    private async followOnPeer(member: Member, requestId: string, offset: number): Promise<RequestRecord | undefined> {
         const abort = new AbortController();
         const timer = setTimeout(() => abort.abort(), firstEventMilliseconds);
         const events = this.link.followRequest(member.address, requestId, offset, abort.signal)[Symbol.asyncIterator]();
@@ -94,9 +98,9 @@
             if (first.done === true || first.value.event.case !== "start") {
                 return undefined;
             }
-            const head = headSchema.parse(JSON.parse(first.value.event.value.requestJson));
+            const head = requestHeadSchema.parse(JSON.parse(first.value.event.value.requestJson));
             const span = this.tracing.startSpanFromHeaders("follow request", {});
-            const record = createMirror(requestId, head, span);
+            const record = createFollowedRecord(requestId, head, span);
             record.history.hops.push(member.name);
             void this.relayEvents(record, events, span);
             record.cancellation.signal.addEventListener("abort", () => abort.abort(), { once: true });
@@ -119,26 +123,27 @@
             }
         }
         catch {
-            // The end below covers a connection that broke.
+            // A lost connection ends the record below like the end of the stream.
         }
         record.finishWithoutAnswer(RequestOutcome.HandedOver);
         span.end();
     }
 }
 
-function readForwardAnswer(answer: ForwardCallResponse): Result<PlainCallResult, Failure> {
-    if (answer.status === 0) {
-        return Err(Failure.createFormatted(readVerdict(answer.verdict), findMessage(answer.failureCode), answer.failureText));
+function readForwardResponse(response: ForwardCallResponse): Result<PlainCallResult, Failure> {
+    if (response.status === 0) {
+        return Err(Failure.createFormatted(readVerdict(response.verdict), findMessage(response.failureCode), response.failureText));
     }
-    const contentType = answer.contentType === "" ? undefined : answer.contentType;
-    return Ok({ answer: { status: answer.status, contentType, body: Buffer.from(answer.body) }, isReplayed: false });
+    const contentType = response.contentType === "" ? undefined : response.contentType;
+    return Ok({ answer: { status: response.status, contentType, body: Buffer.from(response.body) }, isReplayed: false });
 }
 
 function readVerdict(text: string): Verdict {
     return Object.values(Verdict).find(verdict => verdict === text) ?? Verdict.MayHaveRun;
 }
 
-function createMirror(requestId: string, head: z.infer<typeof headSchema>, span: Span): RequestRecord {
+/** Creates the local record of a request that runs on another node; it contains only the fields that the follower needs. */
+function createFollowedRecord(requestId: string, head: z.infer<typeof requestHeadSchema>, span: Span): RequestRecord {
     return RequestRecord.create({
         id: requestId,
         team: head.team,
--- a/src/node/statusServer.ts
+++ b/src/node/statusServer.ts
@@ -8,7 +8,7 @@
 const statusUnavailable = 503;
 const metricsPath = "/metrics";
 
-/** Answers the balancer's readiness check and serves the metrics. */
+/** Serves the readiness check of the load balancer and the Prometheus metrics. */
 export class StatusServer {
     private readonly servers: Server[] = [];
 
@@ -22,17 +22,19 @@
         return new StatusServer(readinessPath, isReady, registry);
     }
 
+    /** Starts the readiness listener; it responds with 200, or 503 while the node is not ready. */
     async startReadiness(address: NetworkAddress): Promise<NetworkAddress> {
         const server = createServer((request, response) => {
             request.resume();
-            const isKnown = request.url === this.readinessPath;
-            response.statusCode = isKnown ? this.getReadinessStatus() : statusNotFound;
+            const isReadinessPath = request.url === this.readinessPath;
+            response.statusCode = isReadinessPath ? this.getReadinessStatus() : statusNotFound;
             response.end();
         });
         this.servers.push(server);
         return startListening(server, address);
     }
 
+    /** Starts the metrics listener. */
     async startMetrics(address: NetworkAddress): Promise<NetworkAddress> {
         const server = createServer((request, response) => {
             request.resume();
@@ -54,6 +56,7 @@
         return this.isReady() ? statusOk : statusUnavailable;
     }
 
+    /** Closes the listeners and their open connections. */
     stop(): void {
         for (const server of this.servers) {
             server.close();
--- a/src/node/wholePath.test.ts
+++ b/src/node/wholePath.test.ts
@@ -12,21 +12,21 @@
 
 after(() => deployment.stop());
 
-test("a completion is streamed whole, with ids that count its tokens", async () => {
+test("a streamed completion contains every token, with consecutive event ids from 1", async () => {
     const body = JSON.stringify({ model: "lookup", prompt: "¿Está mi casco en la lista?", max_tokens: 12, stream: true });
     const response = await fetch(`${deployment.getCallerUrl()}/v1/completions`, { method: "POST", headers, body });
     const text = await response.text();
     const events = text.split("\n\n").filter(event => event.includes(`"text":" `));
-    const answer = events.map(event =>
+    const completion = events.map(event =>
         (JSON.parse(event.split("data: ")[1] as string) as { choices: { text: string; }[]; }).choices[0]?.text
     ).join("");
     assert.equal(response.status, 200);
-    assert.equal(answer, generateAnswer("¿Está mi casco en la lista?", 12));
+    assert.equal(completion, generateAnswer("¿Está mi casco en la lista?", 12));
     assert.deepEqual(events.map(event => event.split("\n")[0]), events.map((_event, index) => `id: ${index + 1}`));
     assert.ok(text.endsWith("data: [DONE]\n\n"));
 });
 
-test("a call that may not be repeated runs once, on whichever node it is sent again", async () => {
+test("a non-idempotent call with an idempotency key runs once, even if it is retried on another node", async () => {
     const send = (index: number) =>
         fetch(`${deployment.getCallerUrl(index)}/services/voucher/issue`, {
             method: "POST",
@@ -42,7 +42,7 @@
     assert.equal(deployment.plainServices.flatMap(service => service.effects).length, 1);
 });
 
-test("metrics show the requests by outcome", async () => {
+test("metrics count requests by service, team, outcome and verdict", async () => {
     const metrics = await (await fetch(`${deployment.getOperatorUrl()}/metrics`)).text();
     assert.match(metrics, /corianderward_requests_total\{service="voucher",team="desk",outcome="finished",verdict="Ran"\} 1/);
 });
