--- a/src/daemon/exitCodes.ts
+++ b/src/daemon/exitCodes.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the daemon. */
+/** Exit codes of the daemons. */
 export enum DaemonExitCode {
     Ok = 0,
     Failed = 1,
--- a/src/daemon/gatewayDaemon.ts
+++ b/src/daemon/gatewayDaemon.ts
@@ -12,7 +12,7 @@
 
 const usage = "usage: gateway --settings FILE [--check]";
 
-/** Runs one gateway until it is told to stop; returns the exit code. */
+/** Runs a gateway from its command line until the process receives a stop signal; returns the exit code. */
 export async function runGatewayDaemon(commandLine: readonly string[], addDeployment: DeploymentBindings): Promise<DaemonExitCode> {
     const options = readOptions(commandLine);
     if (options === undefined) {
@@ -21,14 +21,14 @@
     }
     const settings = readGatewaySettings(options.settings);
     if (settings.err) {
-        settings.val.forEach(fault => process.stderr.write(`${formatDiagnostic(fault)}\n`));
+        settings.val.forEach(problem => process.stderr.write(`${formatDiagnostic(problem)}\n`));
         return DaemonExitCode.BadSettings;
     }
     if (options.check) {
         process.stdout.write(`${formatDiagnostic(createDiagnostic(Diagnostics.Settings_are_valid))}\n`);
         return DaemonExitCode.Ok;
     }
-    // Each Err of a refused request would record a stack that nobody reads: a quarter of the processor time under refusals.
+    // Without this, each Err of a refused request captures a stack trace that is never read: a quarter of the CPU time while requests are refused.
     Error.stackTraceLimit = 0;
     const node = GatewayNode.create(settings.val, addDeployment, await loadTracing(settings.val));
     const log = node.container.get(Keys.Log);
@@ -55,7 +55,7 @@
         return values.settings === undefined ? undefined : { settings: values.settings, check: values.check };
     }
     catch {
-        // The usage that is printed says what is allowed.
+        // The caller prints the usage line.
         return undefined;
     }
 }
@@ -69,48 +69,50 @@
     return CollectedTracing.create(Tracing.create({ node: settings.name, sampleRatio: 1, collectorUrl: settings.collectorUrl }));
 }
 
-/** Reads the settings again on SIGHUP and when the file has changed without a signal. */
+/** Reloads the settings after SIGHUP or a change of the file; polls for both at the settings interval. */
 async function watchSettings(node: GatewayNode, file: string, initial: GatewaySettings): Promise<void> {
     const clock = node.container.get(Keys.Clock);
     let current = initial;
-    let knownTime = await readChangeTime(file);
-    let isSignalled = false;
+    let lastChangeTime = await readChangeTime(file);
+    let isReloadRequested = false;
     process.on("SIGHUP", () => {
-        isSignalled = true;
+        isReloadRequested = true;
     });
     for (;;) {
         await clock.sleep(current.timing.settingsInterval);
         const changeTime = await readChangeTime(file);
-        if (!isSignalled && changeTime === knownTime) {
+        if (!isReloadRequested && changeTime === lastChangeTime) {
             continue;
         }
-        isSignalled = false;
-        knownTime = changeTime;
+        isReloadRequested = false;
+        lastChangeTime = changeTime;
         current = applyChangedSettings(node, file, current);
     }
 }
 
+/** Returns the modification time of the file in Unix milliseconds, or 0 if it cannot be read. */
 async function readChangeTime(file: string): Promise<number> {
     try {
         return (await stat(file)).mtimeMs;
     }
     catch {
-        // A file that is being replaced is missing for a moment; the next look finds it.
+        // A file that is being replaced is briefly missing; the next poll finds it.
         return 0;
     }
 }
 
+/** Applies the reloaded settings and returns them; returns `current` if the file is invalid. */
 function applyChangedSettings(node: GatewayNode, file: string, current: GatewaySettings): GatewaySettings {
     const log = node.container.get(Keys.Log);
     const settings = readGatewaySettings(file);
     if (settings.err) {
-        log.log(LogEvents.SettingsRefused, { faults: settings.val.map(fault => formatDiagnostic(fault)).join("; ") });
+        log.log(LogEvents.SettingsRefused, { faults: settings.val.map(problem => formatDiagnostic(problem)).join("; ") });
         return current;
     }
-    const changed = Object.keys(settings.val).filter(key =>
+    const changedKeys = Object.keys(settings.val).filter(key =>
         JSON.stringify(settings.val[key as keyof GatewaySettings]) !== JSON.stringify(current[key as keyof GatewaySettings])
     );
     node.applySettings(settings.val);
-    log.log(LogEvents.SettingsReloaded, { changed: changed.join(",") });
+    log.log(LogEvents.SettingsReloaded, { changed: changedKeys.join(",") });
     return settings.val;
 }
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -7,7 +7,7 @@
 import { Keys } from "../node/keys.js";
 import { DaemonExitCode } from "./exitCodes.js";
 
-/** Runs one node until it is told to stop. */
+/** Command that runs a node until the process receives a stop signal. */
 export class DaemonCommand extends Command {
     static override description = "Runs a node of corianderward. Stops gracefully on SIGTERM and SIGINT.";
     static override examples = ["corianderwardd --settings node.ini", "corianderwardd --settings node.ini --check"];
@@ -20,8 +20,8 @@
         const { flags } = await this.parse(DaemonCommand);
         const settings = readNodeSettings(flags.settings, process.env);
         if (settings.err) {
-            settings.val.forEach(fault => this.logToStderr(formatDiagnostic(fault)));
-            if (settings.val.some(fault => fault.message.category === DiagnosticCategory.Error)) {
+            settings.val.forEach(problem => this.logToStderr(formatDiagnostic(problem)));
+            if (settings.val.some(problem => problem.message.category === DiagnosticCategory.Error)) {
                 this.exit(DaemonExitCode.BadSettings);
             }
             return;
