--- a/src/keys/certificates.ts
+++ b/src/keys/certificates.ts
@@ -6,16 +6,16 @@
 const keyBits = 2_048;
 const serialBytes = 16;
 const millisecondsPerDay = 86_400_000;
-/** Certificates are valid from a little earlier, since clocks differ, in milliseconds. */
-const earlyMilliseconds = 300_000;
+/** Certificates are valid from this long before their creation, since the clocks of nodes differ. */
+const clockSkewToleranceMilliseconds = 300_000;
 
-/** A certificate and its private key, in PEM. */
+/** A certificate and its private key, in PEM format. */
 export interface KeyPairFiles {
     readonly certificate: string;
     readonly key: string;
 }
 
-/** What a certificate says. */
+/** Fields of a verified certificate. */
 export interface CertificateReport {
     readonly subject: string;
     readonly issuer: string;
@@ -24,7 +24,7 @@
     readonly isAuthority: boolean;
 }
 
-/** Creates the authority that signs the certificates of a site's nodes. */
+/** Creates the certificate authority of a site, valid for `days` from `now` (Unix milliseconds). */
 export function createAuthority(name: string, days: number, now: number): KeyPairFiles {
     const keys = createKeys();
     const certificate = createCertificate(keys, name, days, now);
@@ -37,7 +37,7 @@
     return { certificate: forge.pki.certificateToPem(certificate), key: forge.pki.privateKeyToPem(keys.privateKey) };
 }
 
-/** Creates a node's certificate, signed by an authority. */
+/** Creates a node certificate signed by the authority, valid for `days` from `now` (Unix milliseconds). */
 export function createNodeCertificate(authority: KeyPairFiles, node: string, days: number, now: number): KeyPairFiles {
     const keys = createKeys();
     const issuer = forge.pki.certificateFromPem(authority.certificate);
@@ -52,22 +52,22 @@
     return { certificate: forge.pki.certificateToPem(certificate), key: forge.pki.privateKeyToPem(keys.privateKey) };
 }
 
-/** Reads a certificate and checks that an authority signed it and that it is valid now. */
+/** Checks that the authority signed the PEM certificate and that it is valid at `now` (Unix milliseconds). The error is the reason in plain text. */
 export function checkCertificate(certificate: string, authority: string, now: number): Result<CertificateReport, string> {
     try {
         const parsed = new X509Certificate(certificate);
-        const signer = new X509Certificate(authority);
+        const authorityCertificate = new X509Certificate(authority);
         const report: CertificateReport = {
             subject: parsed.subject,
             issuer: parsed.issuer,
             validUntil: Date.parse(parsed.validTo),
             isAuthority: parsed.ca,
         };
-        if (!parsed.verify(signer.publicKey)) {
-            return Err("the authority did not sign it");
+        if (!parsed.verify(authorityCertificate.publicKey)) {
+            return Err("the certificate is not signed by the authority");
         }
         if (Date.parse(parsed.validFrom) > now || report.validUntil < now) {
-            return Err(`it is valid from ${parsed.validFrom} to ${parsed.validTo}`);
+            return Err(`the certificate is only valid from ${parsed.validFrom} to ${parsed.validTo}`);
         }
         return Ok(report);
     }
@@ -93,7 +93,7 @@
     certificate.publicKey = keys.publicKey;
     // A leading zero keeps the serial number positive.
     certificate.serialNumber = `00${randomBytes(serialBytes).toString("hex")}`;
-    certificate.validity.notBefore = new Date(now - earlyMilliseconds);
+    certificate.validity.notBefore = new Date(now - clockSkewToleranceMilliseconds);
     certificate.validity.notAfter = new Date(now + days * millisecondsPerDay);
     certificate.setSubject([{ name: "commonName", value: name }]);
     return certificate;
