--- a/src/provider/cloud.ts
+++ b/src/provider/cloud.ts
@@ -6,15 +6,15 @@
 import { Verdict } from "../common/verdict.js";
 import { HostOffer, noticeSchema, offerSchema, ReclaimNotice } from "./types.js";
 
-/** The cloud API: offers, notices, starts and stops of hosts. */
+/** Client of the cloud API, which sells hosts: lists offers and reclaim notices, starts and stops hosts. */
 export interface Cloud {
-    /** Returns what can be bought now and at which price. */
+    /** Returns the machine classes that can be bought now, with their current prices. */
     listOffers(): Promise<Result<HostOffer[], Failure>>;
-    /** Returns the reclaims announced and not yet carried out. */
+    /** Returns the reclaims that were announced and have not yet taken place. */
     listNotices(): Promise<Result<ReclaimNotice[], Failure>>;
-    /** Starts a host; returns its name. The cloud may refuse. */
+    /** Starts a host of the offered class; returns the name of the host. The cloud may refuse, which is returned as a failure. */
     startHost(offer: HostOffer): Promise<Result<string, Failure>>;
-    /** Gives a host back. */
+    /** Stops a host and returns it to the cloud. */
     stopHost(name: string): Promise<Result<void, Failure>>;
 }
 
@@ -22,11 +22,11 @@
 const noticesSchema = z.object({ notices: z.array(noticeSchema) });
 const startedSchema = z.object({ host: z.string() });
 
-/** Speaks to the cloud API over HTTP and JSON. */
+/** Calls the cloud API with JSON over HTTP, without retries. */
 export class HttpCloud implements Cloud {
     private constructor(private readonly client: Got) {}
 
-    /** The timeout is in milliseconds. */
+    /** Creates a client for a base URL; the timeout is that of a whole request, in milliseconds. */
     static create(url: string, timeout: number): HttpCloud {
         return new HttpCloud(got.extend({ prefixUrl: url, retry: { limit: 0 }, timeout: { request: timeout } }));
     }
--- a/src/provider/hostList.ts
+++ b/src/provider/hostList.ts
@@ -6,9 +6,9 @@
 import { Verdict } from "../common/verdict.js";
 import { hostSchema, ListedHost } from "./types.js";
 
-/** The platform's list of live and leaving hosts. It lags. */
+/** Client of the platform's list of live and leaving hosts. The list may lag behind the actual state. */
 export interface HostList {
-    /** Returns every host that the list shows now. */
+    /** Returns every host that is in the list now. */
     listHosts(): Promise<Result<ListedHost[], Failure>>;
 }
 
@@ -16,14 +16,14 @@
 
 const statusNotModified = 304;
 
-/** Reads the host list over HTTP and JSON; a list that has not changed is not sent again. */
+/** Reads the host list with JSON over HTTP. Sends the last entity tag, so that an unchanged list is not transferred again. */
 export class HttpHostList implements HostList {
     private hosts: ListedHost[] = [];
     private entityTag: string | undefined;
 
     private constructor(private readonly client: Got) {}
 
-    /** The timeout is in milliseconds. */
+    /** Creates a client for a base URL; the timeout is that of a whole request, in milliseconds. */
     static create(url: string, timeout: number): HttpHostList {
         return new HttpHostList(
             got.extend({
@@ -39,10 +39,10 @@
     async listHosts(): Promise<Result<ListedHost[], Failure>> {
         try {
             const headers = this.entityTag === undefined ? {} : { "if-none-match": this.entityTag };
-            const answer = await this.client.get("hosts", { headers });
-            if (answer.statusCode !== statusNotModified) {
-                this.hosts = hostsSchema.parse(JSON.parse(answer.body)).hosts;
-                this.entityTag = answer.headers.etag;
+            const response = await this.client.get("hosts", { headers });
+            if (response.statusCode !== statusNotModified) {
+                this.hosts = hostsSchema.parse(JSON.parse(response.body)).hosts;
+                this.entityTag = response.headers.etag;
             }
             return Ok(this.hosts);
         }
--- a/src/provider/httpObjectStore.ts
+++ b/src/provider/httpObjectStore.ts
@@ -13,7 +13,7 @@
 
 const storedObjectSchema = z.object({ name: z.string(), revision: z.number().int(), value: z.unknown() });
 const objectListSchema = z.object({ revision: z.number().int(), objects: z.array(storedObjectSchema) });
-const writeAnswerSchema = z.object({ revision: z.number().int() });
+const writeResponseSchema = z.object({ revision: z.number().int() });
 const watchEventSchema = z.object({
     kind: z.enum(WatchEventKind),
     revision: z.number().int(),
@@ -27,9 +27,10 @@
 const statusPreconditionFailed = 412;
 const statusServerError = 500;
 const idleSocketMilliseconds = 4_000;
-const connectionRefusedCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "EADDRNOTAVAIL"]);
+/** Error codes of connections that were never established, so that no part of the request was sent. */
+const notConnectedCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "EADDRNOTAVAIL"]);
 
-/** How to reach the object API. Times are in milliseconds. */
+/** Connection settings of the object API. `timeout` (whole request) and `watchSilence` (idle timeout of a watch) are in milliseconds. */
 export interface HttpObjectStoreOptions {
     readonly url: string;
     readonly token: string | undefined;
@@ -37,7 +38,7 @@
     readonly watchSilence: number;
 }
 
-/** Speaks the HTTP and JSON shape of the object API that docs/INTERFACES.md gives. */
+/** Object store behind the HTTP and JSON interface that docs/INTERFACES.md defines. Sends each call once, without retries. */
 export class HttpObjectStore implements ObjectStore {
     private reachable = true;
 
@@ -66,22 +67,22 @@
     }
 
     async getObject(name: string): Promise<Result<StoredObject | undefined, Failure>> {
-        const answer = await this.sendRead("get", `objects/${encodeURIComponent(name)}`);
-        if (answer.err) {
-            return answer;
+        const response = await this.sendRead("get", `objects/${encodeURIComponent(name)}`);
+        if (response.err) {
+            return response;
         }
-        if (answer.val.statusCode === statusNotFound) {
+        if (response.val.statusCode === statusNotFound) {
             return Ok(undefined);
         }
-        return this.parseAnswer(answer.val, storedObjectSchema);
+        return this.parseResponse(response.val, storedObjectSchema);
     }
 
     async listObjects(prefix: string): Promise<Result<ObjectList, Failure>> {
-        const answer = await this.sendRead("list", `objects?prefix=${encodeURIComponent(prefix)}`);
-        if (answer.err) {
-            return answer;
+        const response = await this.sendRead("list", `objects?prefix=${encodeURIComponent(prefix)}`);
+        if (response.err) {
+            return response;
         }
-        return this.parseAnswer(answer.val, objectListSchema);
+        return this.parseResponse(response.val, objectListSchema);
     }
 
     async createObject(name: string, value: unknown): Promise<Result<number, WriteFailure>> {
@@ -143,23 +144,23 @@
 
     private async sendRead(call: string, path: string): Promise<Result<Response<string>, Failure>> {
         try {
-            const answer = await this.client.get(path);
-            this.recordAnswer(call, answer.statusCode);
-            if (answer.statusCode >= statusServerError || (answer.statusCode !== statusOk && answer.statusCode !== statusNotFound)) {
-                return Err(Failure.create(Verdict.NotRun, Diagnostics.Platform_answered_with_status_0, answer.statusCode));
+            const response = await this.client.get(path);
+            this.recordResponse(call, response.statusCode);
+            if (response.statusCode >= statusServerError || (response.statusCode !== statusOk && response.statusCode !== statusNotFound)) {
+                return Err(Failure.create(Verdict.NotRun, Diagnostics.Platform_answered_with_status_0, response.statusCode));
             }
-            return Ok(answer);
+            return Ok(response);
         }
         catch (error) {
-            this.recordSilence(call, error);
+            this.recordCallFailure(call, error);
             return Err(Failure.create(Verdict.NotRun, Diagnostics.Platform_did_not_answer_0, describeError(error)));
         }
     }
 
-    private parseAnswer<T>(answer: Response<string>, schema: z.ZodType<T>): Result<T, Failure> {
-        const parsed = schema.safeParse(parseJson(answer.body));
+    private parseResponse<T>(response: Response<string>, schema: z.ZodType<T>): Result<T, Failure> {
+        const parsed = schema.safeParse(parseJson(response.body));
         if (!parsed.success) {
-            return Err(Failure.create(Verdict.NotRun, Diagnostics.Platform_did_not_answer_0, "the answer cannot be read"));
+            return Err(Failure.create(Verdict.NotRun, Diagnostics.Platform_did_not_answer_0, "unexpected response format"));
         }
         return Ok(parsed.data);
     }
@@ -173,22 +174,22 @@
     ): Promise<Result<number, WriteFailure>> {
         const body = value === undefined ? {} : { json: { value } };
         try {
-            const answer = await this.client(`objects/${encodeURIComponent(name)}`, { method, headers, ...body });
-            this.recordAnswer(call, answer.statusCode);
-            return this.readWriteAnswer(name, answer);
+            const response = await this.client(`objects/${encodeURIComponent(name)}`, { method, headers, ...body });
+            this.recordResponse(call, response.statusCode);
+            return this.parseWriteResponse(name, response);
         }
         catch (error) {
-            this.recordSilence(call, error);
+            this.recordCallFailure(call, error);
             // Only a connection that was never established proves that nothing was written.
-            const outcome = connectionRefusedCodes.has(readErrorCode(error)) ? WriteOutcome.NotWritten : WriteOutcome.Unknown;
+            const outcome = notConnectedCodes.has(readErrorCode(error)) ? WriteOutcome.NotWritten : WriteOutcome.Unknown;
             const failure = Failure.create(Verdict.NotRun, Diagnostics.Write_of_0_has_an_unknown_outcome, name, describeError(error));
             return Err({ outcome, failure });
         }
     }
 
-    private readWriteAnswer(name: string, answer: Response<string>): Result<number, WriteFailure> {
-        if (answer.statusCode === statusOk || answer.statusCode === statusCreated) {
-            const parsed = writeAnswerSchema.safeParse(parseJson(answer.body));
+    private parseWriteResponse(name: string, response: Response<string>): Result<number, WriteFailure> {
+        if (response.statusCode === statusOk || response.statusCode === statusCreated) {
+            const parsed = writeResponseSchema.safeParse(parseJson(response.body));
             if (parsed.success) {
                 return Ok(parsed.data.revision);
             }
@@ -196,27 +197,27 @@
                 Verdict.NotRun,
                 Diagnostics.Write_of_0_has_an_unknown_outcome,
                 name,
-                "the answer cannot be read",
+                "unexpected response format",
             );
             return Err({ outcome: WriteOutcome.Unknown, failure });
         }
-        if (answer.statusCode === statusPreconditionFailed || answer.statusCode === statusNotFound) {
+        if (response.statusCode === statusPreconditionFailed || response.statusCode === statusNotFound) {
             return Err({
                 outcome: WriteOutcome.Conflict,
                 failure: Failure.create(Verdict.NotRun, Diagnostics.Revision_conflict_on_0, name),
             });
         }
-        const failure = Failure.create(Verdict.NotRun, Diagnostics.Platform_answered_with_status_0, answer.statusCode);
-        const outcome = answer.statusCode >= statusServerError ? WriteOutcome.Unknown : WriteOutcome.NotWritten;
+        const failure = Failure.create(Verdict.NotRun, Diagnostics.Platform_answered_with_status_0, response.statusCode);
+        const outcome = response.statusCode >= statusServerError ? WriteOutcome.Unknown : WriteOutcome.NotWritten;
         return Err({ outcome, failure });
     }
 
-    private recordAnswer(call: string, status: number): void {
+    private recordResponse(call: string, status: number): void {
         this.metrics.platformCalls.inc({ call, outcome: String(status) });
         this.markReachable(status < statusServerError);
     }
 
-    private recordSilence(call: string, error: unknown): void {
+    private recordCallFailure(call: string, error: unknown): void {
         this.metrics.platformCalls.inc({ call, outcome: readErrorCode(error) || "error" });
         this.markReachable(false);
     }
--- a/src/provider/objectFollower.ts
+++ b/src/provider/objectFollower.ts
@@ -4,30 +4,30 @@
 import { ObjectStore } from "./objectStore.js";
 import { ObjectList, StoredObject, WatchEvent, WatchEventKind } from "./types.js";
 
-/** First pause after a failed call, in milliseconds; it doubles up to the longest: each call is counted, also in an outage. */
-const firstPauseMilliseconds = 100;
-const longestPauseMilliseconds = 1_000;
+/** Backoff after a failed call, doubled with each further failure up to the maximum. It limits the number of calls, which are counted during an outage too. */
+const initialBackoffMilliseconds = 100;
+const maximumBackoffMilliseconds = 1_000;
 
-/** Pause after changes before the next call, in milliseconds: changes come in groups, and one call brings a whole group. */
+/** Pause after a batch of changes before the next call: changes occur in groups, and one call returns a whole group. */
 export const groupMilliseconds = 200;
 
-/** Takes what a follower reads. */
+/** Receives the objects and changes that an `ObjectWatcher` reads. */
 export interface ObjectHandler {
-    /** Called with everything that is there, at the start and whenever the history was lost. */
+    /** Handles the complete list of objects. Called at the start and whenever the watch history has expired. */
     handleListing(list: ObjectList): void;
     handleChange(object: StoredObject): void;
     handleRemoval(name: string, revision: number): void;
 }
 
-/** Follows every object under a prefix: lists them, then watches for changes, and lists again when the history is lost. */
+/** Keeps a handler up to date with all objects under a prefix: lists them, watches for changes, and lists again when the watch history has expired. */
 export class ObjectFollower {
-    private readonly stopping = new AbortController();
+    private readonly stopController = new AbortController();
     private revision: number | undefined;
-    private failuresInRow = 0;
-    private lostAt: number | undefined;
-    private currentAt = -Infinity;
-    private handleLateNews: () => void = () => {};
-    private getGroupPause: () => number = () => groupMilliseconds;
+    private consecutiveFailures = 0;
+    private outageStartedAt: number | undefined;
+    private outageEndedAt = -Infinity;
+    private handleRelist: () => void = () => {};
+    private getBatchPause: () => number = () => groupMilliseconds;
 
     private constructor(
         private readonly store: ObjectStore,
@@ -41,45 +41,46 @@
         return new ObjectFollower(store, prefix, handler, clock, log);
     }
 
-    /** Says what to do after changes were found by listing again: others' watches may have missed them too. */
-    setLateNewsHandler(handleLateNews: () => void): void {
-        this.handleLateNews = handleLateNews;
+    /** Sets a function that is called after each complete list, so that peers whose watches missed the same changes can be sent them. */
+    setLateNewsHandler(handleRelist: () => void): void {
+        this.handleRelist = handleRelist;
     }
 
-    /** Says where the pause after changes is looked up, in milliseconds; it is longer where the changes come another way too. */
-    setGroupPause(getGroupPause: () => number): void {
-        this.getGroupPause = getGroupPause;
+    /** Sets the function that returns the pause after a batch of changes, in milliseconds. The pause is longer where the changes also arrive by another path, such as a relay. */
+    setGroupPause(getBatchPause: () => number): void {
+        this.getBatchPause = getBatchPause;
     }
 
-    /** Runs until stop is called. */
+    /** Lists and watches until `stop` is called. */
     async run(): Promise<void> {
-        while (!this.stopping.signal.aborted) {
-            const isReached = this.revision === undefined ? await this.listAll() : await this.watchOnce(this.revision);
-            if (this.stopping.signal.aborted) {
+        while (!this.stopController.signal.aborted) {
+            const hasSucceeded = this.revision === undefined ? await this.listAll() : await this.watchOnce(this.revision);
+            if (this.stopController.signal.aborted) {
                 return;
             }
-            if (isReached) {
-                this.recordReached();
+            if (hasSucceeded) {
+                this.recordSuccess();
                 continue;
             }
             this.recordFailure();
-            const pause = firstPauseMilliseconds * 2 ** Math.min(this.failuresInRow - 1, 8);
-            await this.clock.sleep(Math.min(pause, longestPauseMilliseconds), this.stopping.signal);
+            const pause = initialBackoffMilliseconds * 2 ** Math.min(this.consecutiveFailures - 1, 8);
+            await this.clock.sleep(Math.min(pause, maximumBackoffMilliseconds), this.stopController.signal);
         }
     }
 
+    /** Aborts the current watch or pause and ends `run`. */
     stop(): void {
-        this.stopping.abort();
+        this.stopController.abort();
     }
 
-    /** Whether its last call got an answer. */
+    /** Returns whether the objects have been listed and the last call to the store succeeded. */
     isCurrent(): boolean {
-        return this.revision !== undefined && this.lostAt === undefined;
+        return this.revision !== undefined && this.outageStartedAt === undefined;
     }
 
-    /** Returns the monotonic time at which the last outage ended, or -Infinity when there was none. */
+    /** Returns the monotonic time in milliseconds at which the last outage ended, or -Infinity if there was no outage. */
     getRegainedAt(): number {
-        return this.currentAt;
+        return this.outageEndedAt;
     }
 
     private async listAll(): Promise<boolean> {
@@ -87,22 +88,26 @@
         if (listed.err) {
             return false;
         }
-        this.recordReached();
+        this.recordSuccess();
         this.revision = listed.val.revision;
         this.handler.handleListing(listed.val);
-        this.handleLateNews();
+        this.handleRelist();
         return true;
     }
 
-    /** Watches until the watch ends; returns whether it got any answer. */
-    private async watchOnce(after: number): Promise<boolean> {
-        let hasAnswer = false;
+    /** Watches until the watch ends; returns whether any event was received. */
+    private async watchOnce(afterRevision: number): Promise<boolean> {
+        let hasReceivedEvent = false;
         let hasChange = false;
-        for await (const event of this.store.watchObjects(this.prefix, after, this.stopping.signal)) {
-            hasAnswer = true;
-            this.recordReached();
+        for await (const event of this.store.watchObjects(this.prefix, afterRevision, this.stopController.signal)) {
+            hasReceivedEvent = true;
+            this.recordSuccess();
             if (event.kind === WatchEventKind.Expired) {
-                this.log.log(LogEvents.DependencyLost, { dependency: `watch ${this.prefix}`, cause: "history is gone", revision: after });
+                this.log.log(LogEvents.DependencyLost, {
+                    dependency: `watch ${this.prefix}`,
+                    cause: "history is gone",
+                    revision: afterRevision,
+                });
                 this.revision = undefined;
                 return true;
             }
@@ -110,14 +115,14 @@
             if (event.kind === WatchEventKind.Heartbeat) {
                 if (hasChange) {
                     hasChange = false;
-                    await this.clock.sleep(this.getGroupPause(), this.stopping.signal);
+                    await this.clock.sleep(this.getBatchPause(), this.stopController.signal);
                 }
                 continue;
             }
             hasChange = true;
             this.applyChange(event);
         }
-        return hasAnswer;
+        return hasReceivedEvent;
     }
 
     private applyChange(event: WatchEvent): void {
@@ -131,21 +136,23 @@
         this.handler.handleRemoval(event.object.name, event.object.revision);
     }
 
-    private recordReached(): void {
-        this.failuresInRow = 0;
-        if (this.lostAt === undefined) {
+    /** Resets the backoff; logs the end of an outage. */
+    private recordSuccess(): void {
+        this.consecutiveFailures = 0;
+        if (this.outageStartedAt === undefined) {
             return;
         }
-        this.currentAt = this.clock.getMonotonicTime();
-        const away = Math.round(this.currentAt - this.lostAt);
-        this.lostAt = undefined;
-        this.log.log(LogEvents.DependencyRegained, { dependency: `store ${this.prefix}`, milliseconds: away });
+        this.outageEndedAt = this.clock.getMonotonicTime();
+        const outageMilliseconds = Math.round(this.outageEndedAt - this.outageStartedAt);
+        this.outageStartedAt = undefined;
+        this.log.log(LogEvents.DependencyRegained, { dependency: `store ${this.prefix}`, milliseconds: outageMilliseconds });
     }
 
+    /** Counts a failed call; logs the start of an outage. */
     private recordFailure(): void {
-        this.failuresInRow += 1;
-        if (this.lostAt === undefined) {
-            this.lostAt = this.clock.getMonotonicTime();
+        this.consecutiveFailures += 1;
+        if (this.outageStartedAt === undefined) {
+            this.outageStartedAt = this.clock.getMonotonicTime();
             this.log.log(LogEvents.DependencyLost, { dependency: `store ${this.prefix}`, cause: "no answer", revision: this.revision });
         }
     }
--- a/src/provider/objectStore.ts
+++ b/src/provider/objectStore.ts
@@ -2,25 +2,25 @@
 import { Result } from "../common/results.js";
 import { ObjectList, StoredObject, WatchEvent, WriteFailure } from "./types.js";
 
-/** The platform's object API. Revisions rise with every write to any object. */
+/** The platform's store of named objects. Its revision increases with every write to any object; conditional writes compare revisions. */
 export interface ObjectStore {
-    /** Returns an object, or undefined when there is none. */
+    /** Returns an object, or undefined when no object has this name. */
     getObject(name: string): Promise<Result<StoredObject | undefined, Failure>>;
-    /** Returns every object whose name starts with a prefix. */
+    /** Returns every object whose name starts with the prefix. */
     listObjects(prefix: string): Promise<Result<ObjectList, Failure>>;
-    /** Creates an object that must not exist yet; returns its revision. */
+    /** Creates an object and returns its revision; fails with a conflict when the name already exists. */
     createObject(name: string, value: unknown): Promise<Result<number, WriteFailure>>;
-    /** Replaces an object that must still have a revision; returns the new one. */
+    /** Replaces an object and returns its new revision; fails with a conflict when its revision is not the expected one. */
     replaceObject(name: string, value: unknown, expectedRevision: number): Promise<Result<number, WriteFailure>>;
-    /** Removes an object that must still have a revision. */
+    /** Removes an object; fails with a conflict when its revision is not the expected one. */
     removeObject(name: string, expectedRevision: number): Promise<Result<void, WriteFailure>>;
-    /** Reports changes under a prefix after a revision, until the signal aborts or the connection ends. */
+    /** Yields the changes under a prefix that follow a revision, until the signal aborts or the connection ends. */
     watchObjects(prefix: string, afterRevision: number, signal: AbortSignal): AsyncIterable<WatchEvent>;
-    /** Says whether the last call got an answer. */
+    /** Returns whether the last call was answered by the store, without a server error. */
     isReachable(): boolean;
 }
 
-/** Creates an object that is not there yet, or replaces it at the revision at which it was read; returns the new one. */
+/** Creates an object when `current` is undefined, otherwise replaces it provided its revision is still that of `current`; returns the new revision. */
 export function writeObject(
     store: ObjectStore,
     name: string,
--- a/src/provider/types.ts
+++ b/src/provider/types.ts
@@ -1,73 +1,73 @@
 import { z } from "zod";
 import { Failure } from "../common/failure.js";
 
-/** An object of the platform with the revision that its last write gave it. */
+/** An object of the platform's store, with the revision of its last write. */
 export interface StoredObject {
     readonly name: string;
     readonly revision: number;
     readonly value: unknown;
-    /** What the product wrote beside the value; only a store that keeps both has it. */
+    /** Status that this system wrote for the object; undefined in a store that has no status beside the value. */
     readonly status?: unknown;
 }
 
-/** Objects under a prefix, and the store's revision when they were read. */
+/** Objects under a prefix, and the revision of the store at which they were read. */
 export interface ObjectList {
     readonly revision: number;
     readonly objects: readonly StoredObject[];
 }
 
-/** What is known of a write that did not succeed. */
+/** Effect of a write that did not succeed. */
 export enum WriteOutcome {
-    /** The condition did not hold; nothing was written. */
+    /** The precondition (absence or revision) failed; nothing was written. */
     Conflict = "conflict",
-    /** The platform refused or was never reached; nothing was written. */
+    /** The platform refused the write or could not be reached; nothing was written. */
     NotWritten = "not-written",
-    /** The answer was lost; the write may have taken effect. */
+    /** No usable response was received; the write may have taken effect. */
     Unknown = "unknown",
 }
 
-/** A write that did not succeed. */
+/** A failed write: its effect on the store and the failure to report. */
 export interface WriteFailure {
     readonly outcome: WriteOutcome;
     readonly failure: Failure;
 }
 
-/** What a watch reports. */
+/** Kinds of events that a watch yields. */
 export enum WatchEventKind {
     Changed = "changed",
     Removed = "removed",
-    /** Shows that the watch is alive and how far it has come. */
+    /** Shows that the watch is connected, and up to which revision it has reported all changes. */
     Heartbeat = "heartbeat",
-    /** The watch cannot go on from the revision asked for; list again. */
+    /** The store no longer has the history from the requested revision on; the objects must be listed again. */
     Expired = "expired",
 }
 
-/** One event of a watch. */
+/** One event of a watch, with the revision of the store that it reports. */
 export interface WatchEvent {
     readonly kind: WatchEventKind;
     readonly revision: number;
     readonly object?: StoredObject;
 }
 
-/** What a host is for. */
+/** Purpose of a host: to run a gateway node (entry) or an endpoint. */
 export enum HostRole {
     Entry = "entry",
     Endpoint = "endpoint",
 }
 
-/** How a host was bought. */
+/** Terms on which a host was bought: whether the cloud may reclaim it. */
 export enum PurchaseKind {
     Reclaimable = "reclaimable",
     OnDemand = "on-demand",
 }
 
-/** Whether a host stays. */
+/** State of a host in the host list. */
 export enum HostState {
     Live = "live",
     Leaving = "leaving",
 }
 
-/** The wire shape of a host in the host list. */
+/** Wire format of a host in the host list. */
 export const hostSchema = z.object({
     name: z.string().min(1),
     role: z.enum(HostRole),
@@ -77,15 +77,15 @@
     group: z.string().default(""),
     purchase: z.enum(PurchaseKind).default(PurchaseKind.OnDemand),
     state: z.enum(HostState),
-    /** Unix milliseconds at which a leaving host is taken away. */
+    /** Time at which a leaving host is removed, in Unix milliseconds. */
     leaves_at: z.number().optional(),
     price_per_hour: z.number().min(0).default(0),
 });
 
-/** A host as the host list shows it. */
+/** An entry of the host list. */
 export type ListedHost = z.infer<typeof hostSchema>;
 
-/** A machine class that the cloud offers in a failure domain, with its price now. */
+/** Wire format of an offer: a machine class that the cloud sells in a failure domain, with its current price. */
 export const offerSchema = z.object({
     failure_domain: z.string(),
     group: z.string(),
@@ -94,7 +94,7 @@
 });
 export type HostOffer = z.infer<typeof offerSchema>;
 
-/** A reclaim that the cloud has announced. */
+/** Wire format of a notice that the cloud will reclaim a host; `leaves_at` is in Unix milliseconds. */
 export const noticeSchema = z.object({
     host: z.string(),
     leaves_at: z.number(),
--- a/src/provider/weightStore.ts
+++ b/src/provider/weightStore.ts
@@ -5,19 +5,19 @@
 import { Err, Ok, Result } from "../common/results.js";
 import { Verdict } from "../common/verdict.js";
 
-/** The store of model weights. It is rate-limited. */
+/** Client of the store from which engines load model weights. The store limits how many loads run in parallel. */
 export interface WeightStore {
-    /** Returns how many loads the store serves a failure domain at once. */
+    /** Returns the number of parallel loads that the store serves to one failure domain. */
     fetchParallelLoads(): Promise<Result<number, Failure>>;
 }
 
 const rateSchema = z.object({ parallel_loads: z.number().int().min(0) });
 
-/** Speaks to the weight store over HTTP and JSON. */
+/** Calls the weight store with JSON over HTTP, without retries. */
 export class HttpWeightStore implements WeightStore {
     private constructor(private readonly client: Got) {}
 
-    /** The timeout is in milliseconds. */
+    /** Creates a client for a base URL; the timeout is that of a whole request, in milliseconds. */
     static create(url: string, timeout: number): HttpWeightStore {
         return new HttpWeightStore(got.extend({ prefixUrl: url, retry: { limit: 0 }, timeout: { request: timeout } }));
     }
