--- a/src/logs/logReader.test.ts
+++ b/src/logs/logReader.test.ts
@@ -20,10 +20,10 @@
     `  6.1 b ${createLine(6, "b", "request refused", { request: "r-2", outcome: "refused", cause: "Team 'x' is over its usage cap." })}`,
     createLine(7, "b", "request refused", { request: "r-3", outcome: "refused", cause: "Team 'y' is over its usage cap." }),
     createLine(8, "b", "lines left out", { kind: "request refused", lines: 40 }),
-    "not a line of ours",
+    "text that is not a log line",
 ].join("\n");
 
-test("a request is followed over all nodes, with what its own node believed of its endpoint until then", () => {
+test("explaining a request lists its lines from all nodes and only the earlier state changes of its own node and endpoint", () => {
     const logs = readLogLines([nodeB, nodeA]);
     assert.equal(logs.unreadable, 1);
     const found = findRequest(logs.lines, "r-1");
@@ -36,7 +36,7 @@
     assert.equal(findRequest(logs.lines, "r-9"), undefined);
 });
 
-test("a summary counts equal causes together and says what was left out", () => {
+test("a summary counts causes that differ only in names or numbers together, and adds up the dropped lines", () => {
     const summary = computeSummary(readLogLines([nodeA, nodeB]).lines);
     assert.deepEqual(summary.causes, [
         { outcome: "refused", cause: "Team '…' is over its usage cap.", requests: 2 },
--- a/src/logs/logReader.ts
+++ b/src/logs/logReader.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { LogEvents } from "../common/logEvents.js";
 
-/** A line that a gateway wrote, with the node and the time that every line has. */
+/** Fields that every log line of a gateway has; other fields depend on the kind of the line. */
 const logLineSchema = z.looseObject({
     message: z.string(),
     node: z.string(),
@@ -10,14 +10,14 @@
 });
 export type LogLine = z.infer<typeof logLineSchema>;
 
-/** What was read of several files: lines in the order of their times, and how many others there were. */
+/** Result of reading several log files: the parsed lines ordered by timestamp, and the number of lines that are not log lines. */
 export interface ReadLogs {
     readonly lines: readonly LogLine[];
     readonly unreadable: number;
 }
 
-/** Kinds of lines that say what a node believed, and so explain what it did with a request. */
-const beliefKinds: readonly string[] = [
+/** Kinds of lines that record a change of a node's state. The state explains what the node did with a request. */
+const stateChangeKinds: readonly string[] = [
     LogEvents.ProcessStarted,
     LogEvents.ProcessStopping,
     LogEvents.ConfigurationApplied,
@@ -29,7 +29,7 @@
     LogEvents.QuarantineAdded,
 ].map(kind => kind.name);
 
-/** Reads log lines; what stands before the JSON object of a line, such as a collector's own time and host, is passed over. */
+/** Parses the contents of log files. Text before the JSON object of a line, such as a log collector's time and host, is ignored. */
 export function readLogLines(texts: readonly string[]): ReadLogs {
     const lines: LogLine[] = [];
     let unreadable = 0;
@@ -45,15 +45,15 @@
     return { lines, unreadable };
 }
 
-/** What is known of one request. */
+/** Log lines that explain what happened to one request. */
 export interface RequestExplanation {
-    /** Lines that name the request, on whichever node. */
+    /** Lines of any node that name the request. */
     readonly events: readonly LogLine[];
-    /** The last line of each belief, before the request ended, that bears on its nodes, endpoints and configuration. */
+    /** The latest state change of each kind and subject, up to the request's last line, on the nodes and for the endpoints that the request used. */
     readonly beliefs: readonly LogLine[];
 }
 
-/** Follows one request through the lines of all nodes; undefined when no line names it. */
+/** Finds the lines of all nodes that explain a request; undefined when no line names it. */
 export function findRequest(lines: readonly LogLine[], request: string): RequestExplanation | undefined {
     const events = lines.filter(line => line["request"] === request);
     const last = events[events.length - 1];
@@ -62,9 +62,9 @@
     }
     const nodes = new Set(events.map(event => event.node));
     const endpoints = new Set(events.map(event => String(event["endpoint"] ?? "")));
-    const newest = new Map<string, LogLine>();
+    const latestChanges = new Map<string, LogLine>();
     for (const line of lines) {
-        if (line.timestamp > last.timestamp || !nodes.has(line.node) || !beliefKinds.includes(line.message)) {
+        if (line.timestamp > last.timestamp || !nodes.has(line.node) || !stateChangeKinds.includes(line.message)) {
             continue;
         }
         const { endpoint } = line;
@@ -72,19 +72,22 @@
             continue;
         }
         const subject = String(line["endpoint"] ?? line["peer"] ?? line["dependency"] ?? line["lease"] ?? "");
-        newest.set(`${line.node}\n${line.message}\n${subject}`, line);
+        latestChanges.set(`${line.node}\n${line.message}\n${subject}`, line);
     }
-    return { events, beliefs: [...newest.values()] };
+    return { events, beliefs: [...latestChanges.values()] };
 }
 
-/** How often each cause ended requests, and what changed state. */
+/** Number of refused and failed requests by cause, the state changes, and the number of lines that the rate limit of the log dropped. */
 export interface LogSummary {
     readonly causes: readonly { readonly outcome: string; readonly cause: string; readonly requests: number; }[];
     readonly changes: readonly LogLine[];
     readonly linesLeftOut: number;
 }
 
-/** Counts refusals and failures by cause, and lists what changed state. Numbers and names in a cause are left out, so that equal causes meet. */
+/**
+ * Counts refused and failed requests by cause and lists the state changes.
+ * Replaces numbers and quoted names in a cause by placeholders, so that equal causes are counted together.
+ */
 export function computeSummary(lines: readonly LogLine[]): LogSummary {
     const counts = new Map<string, { outcome: string; cause: string; requests: number; }>();
     for (const line of lines) {
@@ -97,15 +100,15 @@
         entry.requests += 1;
         counts.set(`${outcome}\n${cause}`, entry);
     }
-    const leftOut = lines.filter(line => line.message === LogEvents.LinesLeftOut.name);
+    const omitted = lines.filter(line => line.message === LogEvents.LinesLeftOut.name);
     return {
         causes: [...counts.values()].sort((left, right) => right.requests - left.requests),
-        changes: lines.filter(line => beliefKinds.includes(line.message)),
-        linesLeftOut: leftOut.reduce((sum, line) => sum + Number(line["lines"] ?? 0), 0),
+        changes: lines.filter(line => stateChangeKinds.includes(line.message)),
+        linesLeftOut: omitted.reduce((sum, line) => sum + Number(line["lines"] ?? 0), 0),
     };
 }
 
-/** Formats a line for people: time, node, kind and the other fields in the order of their names. */
+/** Formats a line for display: time, node, kind, and the other fields sorted by name. */
 export function formatLogLine(line: LogLine): string {
     const fields = Object.entries(line)
         .filter(([name, value]) => !["message", "node", "timestamp", "level"].includes(name) && value !== undefined && value !== "")
@@ -124,7 +127,7 @@
         return parsed.success ? parsed.data : undefined;
     }
     catch {
-        // Not a line of ours; the caller counts it.
+        // Not a JSON line; readLogLines counts it as unreadable.
         return undefined;
     }
 }
