--- a/src/operators/commands/moveRoutes.ts
+++ b/src/operators/commands/moveRoutes.ts
@@ -5,21 +5,21 @@
 import { Verdict } from "../../common/verdict.js";
 import { sendOperatorProblem } from "../operatorProblem.js";
 import { createMoveStatus } from "../queries/moveStatus.js";
-import { OperatorParts } from "../types.js";
+import { OperatorDependencies } from "../types.js";
 
 const bodyLimit = "16kb";
-const startSchema = z.strictObject({ to: z.string(), deadline: z.number().int(), replace: z.boolean().default(false) });
+const startMoveSchema = z.strictObject({ to: z.string(), deadline: z.number().int(), replace: z.boolean().default(false) });
 
-/** Adds the routes by which operators start, abort and look at moves. */
-export function addMoveRoutes(app: Express, parts: OperatorParts): void {
-    app.get("/v1/moves/:service", (request, response) => sendMove(parts, request, response));
-    app.post("/v1/moves/:service", express.json({ limit: bodyLimit }), (request, response) => startMove(parts, request, response));
-    app.post("/v1/moves/:service/abort", (request, response) => abortMove(parts, request, response));
+/** Adds the routes with which operators start, abort and read the status of version moves. */
+export function addMoveRoutes(app: Express, dependencies: OperatorDependencies): void {
+    app.get("/v1/moves/:service", (request, response) => sendMove(dependencies, request, response));
+    app.post("/v1/moves/:service", express.json({ limit: bodyLimit }), (request, response) => startMove(dependencies, request, response));
+    app.post("/v1/moves/:service/abort", (request, response) => abortMove(dependencies, request, response));
 }
 
-function sendMove(parts: OperatorParts, request: Request, response: Response): void {
+function sendMove(dependencies: OperatorDependencies, request: Request, response: Response): void {
     const service = String(request.params["service"]);
-    const status = createMoveStatus(parts, service);
+    const status = createMoveStatus(dependencies, service);
     if (status === undefined) {
         sendOperatorProblem(response, Failure.create(Verdict.NotRun, Diagnostics.Move_of_service_0_is_not_known, service));
         return;
@@ -27,15 +27,15 @@
     response.json(status);
 }
 
-async function startMove(parts: OperatorParts, request: Request, response: Response): Promise<void> {
-    const body = startSchema.safeParse(request.body);
+async function startMove(dependencies: OperatorDependencies, request: Request, response: Response): Promise<void> {
+    const body = startMoveSchema.safeParse(request.body);
     if (!body.success) {
         const text = body.error.issues[0]?.message ?? "not valid";
         sendOperatorProblem(response, Failure.create(Verdict.NotRun, Diagnostics.Body_does_not_match_the_interface_0, text));
         return;
     }
     const service = String(request.params["service"]);
-    const started = await parts.moveOperations.startMove(service, body.data.to, body.data.deadline, body.data.replace);
+    const started = await dependencies.moveOperations.startMove(service, body.data.to, body.data.deadline, body.data.replace);
     if (started.err) {
         sendOperatorProblem(response, started.val);
         return;
@@ -43,8 +43,8 @@
     response.status(201).json(started.val);
 }
 
-async function abortMove(parts: OperatorParts, request: Request, response: Response): Promise<void> {
-    const aborted = await parts.moveOperations.abortMove(String(request.params["service"]));
+async function abortMove(dependencies: OperatorDependencies, request: Request, response: Response): Promise<void> {
+    const aborted = await dependencies.moveOperations.abortMove(String(request.params["service"]));
     if (aborted.err) {
         sendOperatorProblem(response, aborted.val);
         return;
--- a/src/operators/queries/explainRequest.ts
+++ b/src/operators/queries/explainRequest.ts
@@ -1,16 +1,16 @@
-import { OperatorParts } from "../types.js";
+import { OperatorDependencies } from "../types.js";
 
-/** Returns what this node or any live peer knows of a request, as JSON, or undefined. */
-export async function findRequestExplanation(parts: OperatorParts, requestId: string): Promise<string | undefined> {
-    const local = parts.table.findExplanation(requestId);
+/** Returns the record of a request as JSON, from this node or else from the first live peer that has one; undefined when none has it. */
+export async function findRequestExplanation(dependencies: OperatorDependencies, requestId: string): Promise<string | undefined> {
+    const local = dependencies.table.findExplanation(requestId);
     if (local !== undefined) {
         return JSON.stringify(local);
     }
-    const members = parts.directory.listMembers().filter(member => parts.directory.isAlive(member));
-    const answers = await Promise.all(members.map(member => parts.link.describeRequest(member.address, requestId)));
-    for (const answer of answers) {
-        if (answer.ok && answer.val.found) {
-            return answer.val.recordJson;
+    const members = dependencies.directory.listMembers().filter(member => dependencies.directory.isAlive(member));
+    const responses = await Promise.all(members.map(member => dependencies.link.describeRequest(member.address, requestId)));
+    for (const response of responses) {
+        if (response.ok && response.val.found) {
+            return response.val.recordJson;
         }
     }
     return undefined;
--- a/src/operators/queries/moveStatus.ts
+++ b/src/operators/queries/moveStatus.ts
@@ -1,13 +1,13 @@
 import { z } from "zod";
 import { moveRecordSchema } from "../../control/moves/moveRecord.js";
-import { OperatorParts } from "../types.js";
+import { OperatorDependencies } from "../types.js";
 
-/** The shape of what a node knows of a move: the platform's record and the node's own part in it. */
+/** Response format of a version move's status: the record in the store, and the share and evidence on this node. */
 export const moveStatusSchema = z.object({
     record: moveRecordSchema,
-    /** Share that this node gives the new version now. */
+    /** Share of traffic that this node currently sends to the new version. */
     share_here: z.number(),
-    /** Strongest evidence against the new version, as a share of the bound at which it is taken back. */
+    /** Strongest evidence against the new version, as a fraction of the bound at which the move is rolled back. */
     evidence: z.number(),
     new_version: z.object({
         trials: z.number(),
@@ -26,14 +26,14 @@
 });
 export type MoveStatus = z.infer<typeof moveStatusSchema>;
 
-/** Returns what this node knows of the move of a service, or undefined. */
-export function createMoveStatus(parts: OperatorParts, service: string): MoveStatus | undefined {
-    const record = parts.moves.findRecord(service);
+/** Returns the status of a service's version move on this node, or undefined when the service has no move. */
+export function createMoveStatus(dependencies: OperatorDependencies, service: string): MoveStatus | undefined {
+    const record = dependencies.moves.findRecord(service);
     if (record === undefined) {
         return undefined;
     }
     const readCounts = (version: string) => {
-        const counts = parts.moves.computeEvidence(service, version);
+        const counts = dependencies.moves.computeEvidence(service, version);
         return {
             trials: counts.trials,
             failures: counts.failures,
@@ -44,8 +44,8 @@
     };
     return {
         record,
-        share_here: parts.moves.getCurrentShare(service),
-        evidence: parts.moves.getEvidence(service),
+        share_here: dependencies.moves.getCurrentShare(service),
+        evidence: dependencies.moves.getEvidence(service),
         new_version: readCounts(record.to),
         old_version: readCounts(record.from),
     };
--- a/src/operators/queries/nodeStatus.ts
+++ b/src/operators/queries/nodeStatus.ts
@@ -1,10 +1,10 @@
 import { z } from "zod";
 import { configurationPrefix } from "../../config/objectNames.js";
-import { OperatorParts } from "../types.js";
+import { OperatorDependencies } from "../types.js";
 
 const revisionSchema = z.object({ team: z.string(), revision: z.number() });
 
-/** The shape of a node's status. Times are Unix milliseconds unless the name says otherwise. */
+/** Response format of a node's status. Times are in Unix milliseconds; fields named `..._milliseconds` are durations. */
 export const nodeStatusSchema = z.object({
     node: z.string(),
     failure_domain: z.string(),
@@ -47,18 +47,18 @@
         told_milliseconds: z.number().optional(),
     })),
     active_requests: z.number(),
-    /** Median difference of this node's clock to its peers', in milliseconds. */
+    /** Median difference between this node's clock and its peers' clocks, in milliseconds. */
     clock_difference_milliseconds: z.number(),
     clock_within_bounds: z.boolean(),
 });
 export type NodeStatus = z.infer<typeof nodeStatusSchema>;
 
-/** Returns what a node knows now. */
-export function createNodeStatus(parts: OperatorParts): NodeStatus {
-    const { directory, configuration, registry } = parts;
-    const now = parts.clock.getMonotonicTime();
-    const reasons = parts.readiness.listUnreadyReasons();
-    const waiting = parts.admission.countWaiting();
+/** Returns the current status of this node: configuration, endpoints, and peers as it sees them. */
+export function createNodeStatus(dependencies: OperatorDependencies): NodeStatus {
+    const { directory, configuration, registry } = dependencies;
+    const now = dependencies.clock.getMonotonicTime();
+    const reasons = dependencies.readiness.listUnreadyReasons();
+    const waiting = dependencies.admission.countWaiting();
     return {
         node: directory.identity.name,
         failure_domain: directory.identity.failureDomain,
@@ -66,13 +66,13 @@
         incarnation: directory.identity.incarnation,
         ready: reasons.length === 0,
         unready_reasons: reasons,
-        platform_reachable: parts.store.isReachable(),
+        platform_reachable: dependencies.store.isReachable(),
         revisions: configuration.listObjects().map(object => ({ team: object.team, revision: object.revision })),
         services: configuration.listServices().map(service => ({
             name: service.name,
             kind: service.kind,
-            version: parts.moves.getServingVersion(service),
-            move: formatMove(parts, service.name),
+            version: dependencies.moves.getServingVersion(service),
+            move: formatMove(dependencies, service.name),
             group: service.group,
             waiting: waiting.get(service.name) ?? 0,
         })),
@@ -100,21 +100,23 @@
             revisions: listTeamRevisions(member.revisions),
             told_milliseconds: Number.isFinite(member.toldAt) ? Math.round(now - member.toldAt) : undefined,
         })),
-        active_requests: parts.table.countActive(),
-        clock_difference_milliseconds: parts.clocks.getDifference(),
-        clock_within_bounds: parts.clocks.isWithinBounds(),
+        active_requests: dependencies.table.countActive(),
+        clock_difference_milliseconds: dependencies.clocks.getDifference(),
+        clock_within_bounds: dependencies.clocks.isWithinBounds(),
     };
 }
 
-function formatMove(parts: OperatorParts, service: string): string | undefined {
-    const record = parts.moves.findRecord(service);
+/** Formats a service's version move as target version, state and current share; undefined when the service has no move. */
+function formatMove(dependencies: OperatorDependencies, service: string): string | undefined {
+    const record = dependencies.moves.findRecord(service);
     if (record === undefined) {
         return undefined;
     }
-    return `${record.to} ${record.state} ${Math.round(parts.moves.getCurrentShare(service) * 100)} %`;
+    return `${record.to} ${record.state} ${Math.round(dependencies.moves.getCurrentShare(service) * 100)} %`;
 }
 
+/** Returns the revision of each team's configuration object. */
 function listTeamRevisions(revisions: ReadonlyMap<string, number>): { team: string; revision: number; }[] {
-    const own = [...revisions].filter(([name]) => name.startsWith(configurationPrefix));
-    return own.map(([name, revision]) => ({ team: name.slice(configurationPrefix.length), revision }));
+    const teamObjects = [...revisions].filter(([name]) => name.startsWith(configurationPrefix));
+    return teamObjects.map(([name, revision]) => ({ team: name.slice(configurationPrefix.length), revision }));
 }
--- a/src/operators/types.ts
+++ b/src/operators/types.ts
@@ -11,14 +11,14 @@
 import { EndpointRegistry } from "../requests/endpointRegistry.js";
 import { RequestTable } from "../requests/requestTable.js";
 
-/** Whether the node may get callers' traffic, and why not. */
+/** Readiness of the node to receive callers' traffic. */
 export interface ReadinessSource {
-    /** Returns the reasons for which the node is not ready; none when it is. */
+    /** Returns the reasons why the node is not ready; empty when it is ready. */
     listUnreadyReasons(): string[];
 }
 
-/** The parts of a node that serving operators needs. */
-export interface OperatorParts {
+/** Dependencies of the operator server. */
+export interface OperatorDependencies {
     readonly clock: Clock;
     readonly metrics: Metrics;
     readonly configuration: ConfigurationSet;
@@ -32,5 +32,6 @@
     readonly moves: MoveKeeper;
     readonly moveOperations: MoveOperations;
     readonly clocks: ClockMonitor;
+    /** SHA-256 hash of the operators' bearer token; undefined disables authentication. */
     readonly operatorTokenHash: string | undefined;
 }
