--- a/src/config/configurationSet.ts
+++ b/src/config/configurationSet.ts
@@ -1,25 +1,28 @@
 import { compareHashes, hashSha256 } from "../common/hashing.js";
 import { ServiceDeclaration, TeamConfiguration, TeamDeclaration } from "./types.js";
 
-/** One team's configuration with the revision that the platform gave it. */
+/** The configuration of one team, with the revision that the platform assigned to it. */
 export interface ConfigurationObject {
     readonly team: string;
     readonly revision: number;
     readonly configuration: TeamConfiguration;
 }
 
-/** What happened to a configuration object that was offered to a node. */
+/** Outcome of `ConfigurationSet.applyObject`. */
 export enum ConfigurationChange {
     Applied = "applied",
     AlreadyInForce = "already-in-force",
     RefusedLowerRevision = "refused-lower-revision",
 }
 
-/** The configuration that a node has in force: one object per team, whose revisions only ever rise. */
+/**
+ * Holds the configuration that is in force at a node, one object per team, and indexes its services and bearer tokens.
+ * The revision of a team's object never decreases, so a delayed older object cannot undo a newer one.
+ */
 export class ConfigurationSet {
-    private readonly objects = new Map<string, ConfigurationObject>();
-    private readonly services = new Map<string, ServiceDeclaration>();
-    private readonly teamByTokenHash = new Map<string, string>();
+    private readonly objectsByTeam = new Map<string, ConfigurationObject>();
+    private readonly servicesByName = new Map<string, ServiceDeclaration>();
+    private readonly teamNamesByTokenHash = new Map<string, string>();
 
     private constructor() {}
 
@@ -27,58 +30,58 @@
         return new ConfigurationSet();
     }
 
-    /** Puts an object in force unless a higher or equal revision of it is. */
+    /** Puts an object in force, unless an equal or higher revision of the team's object is already in force. */
     applyObject(object: ConfigurationObject): ConfigurationChange {
-        const current = this.objects.get(object.team);
+        const current = this.objectsByTeam.get(object.team);
         if (current !== undefined && object.revision < current.revision) {
             return ConfigurationChange.RefusedLowerRevision;
         }
         if (current !== undefined && object.revision === current.revision) {
             return ConfigurationChange.AlreadyInForce;
         }
-        this.objects.set(object.team, object);
+        this.objectsByTeam.set(object.team, object);
         this.buildIndexes();
         return ConfigurationChange.Applied;
     }
 
-    /** Returns every object in force. */
+    /** Returns the object in force of every team. */
     listObjects(): ConfigurationObject[] {
-        return [...this.objects.values()];
+        return [...this.objectsByTeam.values()];
     }
 
-    /** Returns the revision in force for a team, or 0. */
+    /** Returns the revision in force for a team, or 0 when the team has no configuration. */
     getRevision(team: string): number {
-        return this.objects.get(team)?.revision ?? 0;
+        return this.objectsByTeam.get(team)?.revision ?? 0;
     }
 
-    /** Says whether any configuration is in force. */
+    /** Returns whether the configuration of at least one team is in force. */
     hasConfiguration(): boolean {
-        return this.objects.size > 0;
+        return this.objectsByTeam.size > 0;
     }
 
     findService(name: string): ServiceDeclaration | undefined {
-        return this.services.get(name);
+        return this.servicesByName.get(name);
     }
 
     listServices(): ServiceDeclaration[] {
-        return [...this.services.values()];
+        return [...this.servicesByName.values()];
     }
 
     findTeam(name: string): TeamDeclaration | undefined {
-        return this.objects.get(name)?.configuration.team;
+        return this.objectsByTeam.get(name)?.configuration.team;
     }
 
-    /** Returns the team that owns a service. */
+    /** Returns the name of the team that declares a service, or undefined when no team does. */
     findOwner(serviceName: string): string | undefined {
         return this.listObjects().find(object => object.configuration.services.some(service => service.name === serviceName))?.team;
     }
 
-    /** Returns the team whose bearer token this is. */
+    /** Returns the team that a bearer token belongs to. All hashes are compared, so the time does not depend on which one matches. */
     findTeamByToken(token: string): TeamDeclaration | undefined {
         const hash = hashSha256(token);
         let team: string | undefined;
-        for (const [knownHash, name] of this.teamByTokenHash) {
-            if (compareHashes(knownHash, hash)) {
+        for (const [tokenHash, name] of this.teamNamesByTokenHash) {
+            if (compareHashes(tokenHash, hash)) {
                 team = name;
             }
         }
@@ -86,14 +89,14 @@
     }
 
     private buildIndexes(): void {
-        this.services.clear();
-        this.teamByTokenHash.clear();
-        for (const object of this.objects.values()) {
+        this.servicesByName.clear();
+        this.teamNamesByTokenHash.clear();
+        for (const object of this.objectsByTeam.values()) {
             for (const service of object.configuration.services) {
-                this.services.set(service.name, service);
+                this.servicesByName.set(service.name, service);
             }
             for (const hash of object.configuration.team.tokenHashes) {
-                this.teamByTokenHash.set(hash, object.team);
+                this.teamNamesByTokenHash.set(hash, object.team);
             }
         }
     }
--- a/src/config/gatewaySettings.ts
+++ b/src/config/gatewaySettings.ts
@@ -22,32 +22,32 @@
     "tracing",
 ];
 const requiredSections = ["node", "listen", "store"];
-/** Part of the accepted exposure that a trial uses; the rest is for requests that move before the old version stops. */
-const trialPartOfExposure = 0.4;
-const visiblePattern = /^[!-~]{1,200}$/;
-const visibleAllowed = "1 to 200 visible characters";
+/** Share of the accepted exposure that a trial uses by default; the rest is for requests that move before the old version stops. */
+const defaultTrialShareOfExposure = 0.4;
+const visibleTextPattern = /^[!-~]{1,200}$/;
+const visibleTextAllowed = "1 to 200 visible characters";
 
-/** Waits of a gateway, in milliseconds. */
+/** Timeouts and intervals of a gateway, in milliseconds. */
 export interface GatewayTiming {
     readonly connectTimeout: number;
-    /** Silence of an endpoint after which work that may be repeated goes on elsewhere. */
+    /** Time without data from an endpoint after which a repeatable request is retried at another endpoint. */
     readonly endpointSilence: number;
     readonly storeTimeout: number;
     readonly cloudTimeout: number;
     readonly gossipInterval: number;
-    /** Silence after which a peer counts as lost. */
+    /** Time without an update after which a peer is considered unreachable. */
     readonly peerSilence: number;
     readonly leaseTerm: number;
     readonly quarantineTerm: number;
-    /** Time from the signal to stop until the listener closes: the balancer takes the node out meanwhile. */
+    /** Time from the stop signal until the listener closes, in which the load balancer removes the node. */
     readonly listenerGrace: number;
-    /** Time from the signal to stop until open requests are cut off. */
+    /** Time from the stop signal by which open requests are terminated. */
     readonly drainLimit: number;
-    /** Interval at which the settings file is looked at for changes. */
+    /** Interval at which the settings file is polled for changes. */
     readonly settingsInterval: number;
 }
 
-/** The settings of a gateway. */
+/** Settings of a gateway. Times are in milliseconds. */
 export interface GatewaySettings {
     readonly name: string;
     readonly failureDomain: string;
@@ -59,6 +59,7 @@
     readonly cloud: NetworkAddress | undefined;
     readonly seeds: readonly NetworkAddress[];
     readonly retries: { readonly ratio: number; readonly window: number; readonly slack: number; };
+    /** Speeds of engines, and the penalties in milliseconds that routing adds to the cost of an endpoint. */
     readonly engines: {
         readonly promptTokensPerMillisecond: number;
         readonly outputToken: number;
@@ -67,23 +68,26 @@
         readonly copyPenalty: number;
         readonly homePenalty: number;
     };
+    /** Assumed time of a call to a plain service before one is measured, and the penalty of another failure domain. */
     readonly calls: { readonly initialCallTime: number; readonly domainPenalty: number; };
+    /** Sizing of the fleet: target utilization, minimum number of endpoints and the delays before unused ones are released. */
     readonly fleet: {
         readonly targetUtilization: number;
         readonly leastNeeded: number;
         readonly shrinkDelay: number;
         readonly reclaimableShrinkDelay: number;
     };
-    /** Units that all nodes together may pass beyond a team's usage cap, and the window, in milliseconds, in which it is judged. */
+    /** Units by which all nodes together may exceed the usage cap of a team, and the length of the window that the cap applies to. */
     readonly caps: { readonly slack: number; readonly window: number; };
+    /** Length of a usage window, and the time after its end within which its report is due. */
     readonly usage: { readonly windowLength: number; readonly dueTime: number; };
-    /** Version moves: the share of requests for a version on trial, and the exposure of a bad version that operators accept. */
+    /** Version moves: the share of requests that a version under evaluation gets, and the exposure to a bad version that operators accept. */
     readonly versions: { readonly trialShare: number; readonly exposure: { readonly share: number; readonly slack: number; }; };
     readonly timing: GatewayTiming;
     readonly collectorUrl: string | undefined;
 }
 
-/** Reads and checks a gateway's settings; every fault of the file is reported together. */
+/** Reads and checks the settings file of a gateway; all faults are reported together. */
 export function readGatewaySettings(file: string): Result<GatewaySettings, Diagnostic[]> {
     const document = readIniDocument(file);
     if (document.err) {
@@ -92,7 +96,7 @@
     return parseGatewaySettings(document.val);
 }
 
-/** Checks a parsed settings file. */
+/** Checks a parsed settings file; all faults are reported together. */
 export function parseGatewaySettings(document: IniDocument): Result<GatewaySettings, Diagnostic[]> {
     const faults: Diagnostic[] = [];
     checkSections(document, faults);
@@ -106,9 +110,9 @@
 
     function openSection(name: string): SectionReader {
         const section = document.sections.find(candidate => candidate.name === name) ?? { name, line: 1, entries: new Map() };
-        // Faults of a required section that is absent are summed up by one diagnostic.
-        const isAbsent = section.entries.size === 0 && requiredSections.includes(name);
-        const reader = SectionReader.create(document, section, isAbsent ? [] : faults);
+        // checkSections reports an absent required section once; the faults of its keys are discarded. So are those of a section without keys.
+        const isRequiredSectionEmpty = section.entries.size === 0 && requiredSections.includes(name);
+        const reader = SectionReader.create(document, section, isRequiredSectionEmpty ? [] : faults);
         readers.set(name, reader);
         return reader;
     }
@@ -117,8 +121,8 @@
         const node = openSection("node");
         const listen = openSection("listen");
         return {
-            name: node.readText("name", visibleAllowed, visiblePattern),
-            failureDomain: node.readText("failure-domain", visibleAllowed, visiblePattern),
+            name: node.readText("name", visibleTextAllowed, visibleTextPattern),
+            failureDomain: node.readText("failure-domain", visibleTextAllowed, visibleTextPattern),
             callers: listen.readAddress("callers"),
             readiness: listen.readAddress("readiness"),
             peersListen: listen.readAddress("peers"),
@@ -152,13 +156,13 @@
     }
 }
 
-/** Returns an address, or undefined when the key is absent or empty. */
+/** Reads an address; returns undefined when the key is absent or empty. */
 function readOptionalAddress(reader: SectionReader, key: string): NetworkAddress | undefined {
     const text = reader.readOptionalText(key) ?? "";
     return text === "" ? undefined : reader.readAddress(key);
 }
 
-/** Reads addresses separated by commas; an empty list is allowed. */
+/** Reads the comma-separated addresses of the seed peers; the list may be empty. */
 function readSeeds(reader: SectionReader): NetworkAddress[] {
     const text = reader.readOptionalText("seeds") ?? "";
     const seeds: NetworkAddress[] = [];
@@ -231,7 +235,7 @@
 function readVersions(reader: SectionReader): GatewaySettings["versions"] {
     const share = reader.readNumber("exposure-share", 0, 1, 0.1);
     const slack = reader.readNumber("exposure-slack", 0, 1_000_000, 50);
-    const trialShare = reader.readNumber("trial-share", 0, 1, share * trialPartOfExposure);
+    const trialShare = reader.readNumber("trial-share", 0, 1, share * defaultTrialShareOfExposure);
     return { trialShare, exposure: { share, slack } };
 }
 
--- a/src/config/iniDocument.ts
+++ b/src/config/iniDocument.ts
@@ -4,21 +4,21 @@
 import { describeError } from "../common/failure.js";
 import { Err, Ok, Result } from "../common/results.js";
 
-/** A key of a section with the place that it was read from. */
+/** A key of a section with its values and its line; a plain key has one value. */
 export interface IniEntry {
     readonly key: string;
     readonly values: readonly string[];
     readonly line: number;
 }
 
-/** A section with the place that it was read from. */
+/** A section with its keys and the line of its header. */
 export interface IniSection {
     readonly name: string;
     readonly line: number;
     readonly entries: Map<string, IniEntry>;
 }
 
-/** An INI file. The library gives the values; this module adds the line of each section and key. */
+/** A parsed INI file. The `ini` library parses the values; this module adds the line numbers, which diagnostics need. */
 export interface IniDocument {
     readonly file: string;
     readonly sections: readonly IniSection[];
@@ -27,7 +27,7 @@
 const sectionPattern = /^\[([^\]]+)\]\s*$/;
 const keyPattern = /^([^=\s[\]]+)(\[\])?\s*=/;
 
-/** Reads and parses an INI file; every fault is reported with its line. */
+/** Reads and parses an INI file. Reports a file that cannot be read or is not UTF-8, or else all faults with their lines. */
 export function readIniDocument(file: string): Result<IniDocument, Diagnostic[]> {
     let bytes: Buffer;
     try {
@@ -43,7 +43,7 @@
     return parseIniDocument(file, text);
 }
 
-/** Parses the text of an INI file. */
+/** Parses the text of an INI file; all faults are reported together, each with its line. */
 export function parseIniDocument(file: string, text: string): Result<IniDocument, Diagnostic[]> {
     const faults: Diagnostic[] = [];
     const values = parse(text) as Record<string, unknown>;
@@ -95,6 +95,7 @@
     }
 }
 
+/** Returns the values of a key as the `ini` library parsed them; it nests a section with a dotted name such as `a.b`. */
 function findValues(values: Record<string, unknown>, sectionName: string, key: string): string[] {
     let section: unknown = values;
     for (const part of sectionName.split(".")) {
--- a/src/config/objectNames.ts
+++ b/src/config/objectNames.ts
@@ -1,12 +1,12 @@
-/** Prefix of the objects that every node holds a copy of. */
+/** Name prefix of the shared objects, which are replicated to every node. */
 export const sharedPrefix = "shared/";
-/** Prefix of the objects that hold the teams' configuration. */
+/** Name prefix of the configuration objects, one for each team. */
 export const configurationPrefix = `${sharedPrefix}configuration/`;
-/** Prefix of the objects that hold version moves, one for each service. */
+/** Name prefix of the version moves, one object for each service. */
 export const movePrefix = `${sharedPrefix}moves/`;
-/** Prefix of the objects that name requests not to be run again. */
+/** Name prefix of the quarantine entries, which name requests that must not run again. */
 export const quarantinePrefix = `${sharedPrefix}quarantine/`;
-/** Object that holds the routes of a deployment of gateways. */
+/** Name of the object that holds the route configuration of a gateway deployment. */
 export const routesObjectName = "routes/main";
-/** Prefix of leases. */
+/** Name prefix of the leases. */
 export const leasePrefix = "leases/";
--- a/src/config/routeFiles.test.ts
+++ b/src/config/routeFiles.test.ts
@@ -19,7 +19,7 @@
     return parsed.ok ? [] : parsed.val.map(fault => `${fault.line}: ${fault.text}`);
 }
 
-test("a route file says all that a gateway takes, and what it publishes is read back the same", async () => {
+test("a gateway decodes the published routes as the route file declares them, and an unchanged file gets no new version", async () => {
     const declared = readRouteFile(example);
     assert.equal(declared.ok, true);
     const declaration = declared.unwrap();
@@ -45,7 +45,7 @@
     assert.deepEqual(decoded.unwrap().routes, declaration.routes);
 });
 
-test("every fault of a route file is told, with its line", () => {
+test("all faults of a route file are reported together, each with its line", () => {
     const faults = listFaults([
         "[servce.a]",
         "[service.b]",
@@ -77,7 +77,7 @@
     expected.forEach(pattern => assert.equal(faults.some(fault => pattern.test(fault)), true, `${pattern} in\n${faults.join("\n")}`));
 });
 
-test("a route without a service, or a resumable call, is refused", () => {
+test("a route without a service, or a resumable route that is not a stream, is refused", () => {
     const route = [
         "[service.a]",
         "connection-limit = 5",
--- a/src/config/routeFiles.ts
+++ b/src/config/routeFiles.ts
@@ -15,7 +15,7 @@
 import { IniDocument, IniSection, readIniDocument } from "./iniDocument.js";
 import { createUnknownSection, SectionReader } from "./sectionReader.js";
 
-/** What a route file declares; the version is given when it is published. */
+/** The content of a route file: a route configuration without the version, which is assigned when it is published. */
 export type RouteDeclaration = Omit<RouteConfiguration, "version">;
 
 enum SectionKind {
@@ -27,21 +27,21 @@
 
 const sectionForms = ["route.NAME", "service.NAME", "team.NAME", "limits"];
 const hostPattern = /^[a-z0-9.-]{1,253}$/;
-const prefixPattern = /^\/(.*\/)?$/;
+const pathPrefixPattern = /^\/(.*\/)?$/;
 const pathPattern = /^\/.*$/;
-const keyPattern = /^[!-~]{8,200}$/;
-const sharePattern = /^[^\s:]+(:\d+(\.\d+)?)?$/;
+const teamKeyPattern = /^[!-~]{8,200}$/;
+const serviceSharePattern = /^[^\s:]+(:\d+(\.\d+)?)?$/;
 const pricePattern = /^[^\s:]+:\d+(\.\d+)?$/;
-const largestCount = 1_000_000;
-const largestAmount = 1e12;
+const maximumCount = 1_000_000;
+const maximumAmount = 1e12;
 
-/** Reads a route file: which services there are, which routes lead to them, who may call, and how much. */
+/** Reads and checks a route file, which declares services, routes to them, teams with their quotas, and caller limits. */
 export function readRouteFile(file: string): Result<RouteDeclaration, Diagnostic[]> {
     const document = readIniDocument(file);
     return document.err ? document : parseRouteDocument(document.val);
 }
 
-/** Checks a parsed route file; every fault is reported together. */
+/** Checks a parsed route file; all faults are reported together. */
 export function parseRouteDocument(document: IniDocument): Result<RouteDeclaration, Diagnostic[]> {
     const faults: Diagnostic[] = [];
     checkSections(document, faults);
@@ -52,7 +52,7 @@
     return faults.length > 0 ? Err(faults) : Ok({ routes, services, teams, limits });
 
     function openSections(kind: SectionKind): { name: string; reader: SectionReader; }[] {
-        return document.sections.filter(section => readKind(section) === kind).map(section => ({
+        return document.sections.filter(section => findSectionKind(section) === kind).map(section => ({
             name: section.name.slice(kind.length + 1),
             reader: SectionReader.create(document, section, faults),
         }));
@@ -64,14 +64,15 @@
     }
 }
 
-function readKind(section: IniSection): SectionKind | undefined {
+/** Returns the kind of a section from its name, or undefined for an unknown section. */
+function findSectionKind(section: IniSection): SectionKind | undefined {
     return Object.values(SectionKind).find(kind =>
         kind === SectionKind.Limits ? section.name === kind : section.name.startsWith(`${kind}.`) && section.name.length > kind.length + 1
     );
 }
 
 function checkSections(document: IniDocument, faults: Diagnostic[]): void {
-    for (const section of document.sections.filter(candidate => readKind(candidate) === undefined)) {
+    for (const section of document.sections.filter(candidate => findSectionKind(candidate) === undefined)) {
         faults.push(createUnknownSection(document, section, sectionForms));
     }
 }
@@ -80,7 +81,7 @@
     const service: RoutedService = {
         name,
         healthPath: reader.readText("health-check", "a path that begins with a slash", pathPattern, "/"),
-        connectionLimit: reader.readInteger("connection-limit", 1, largestCount),
+        connectionLimit: reader.readInteger("connection-limit", 1, maximumCount),
         engine: readEngine(reader),
         scaling: readScaling(reader),
     };
@@ -88,36 +89,36 @@
     return service;
 }
 
-/** Returns what an engine is like, or undefined for a plain service. */
+/** Returns the capacity of an engine, or undefined for a plain service, which has no `memory-tokens`. */
 function readEngine(reader: SectionReader): EngineTraits | undefined {
     if (reader.readOptionalText("memory-tokens") === undefined) {
         return undefined;
     }
-    return { slots: reader.readInteger("slots", 1, largestCount), memoryTokens: reader.readInteger("memory-tokens", 1, largestAmount) };
+    return { slots: reader.readInteger("slots", 1, maximumCount), memoryTokens: reader.readInteger("memory-tokens", 1, maximumAmount) };
 }
 
-/** Returns the bounds of the fleet, or undefined where endpoints are not ordered. */
+/** Returns the scaling bounds of a service, or undefined without a `price`: no endpoints are ordered for it. */
 function readScaling(reader: SectionReader): ScalingBounds | undefined {
     const prices = reader.readList("price", "FAILURE-DOMAIN:PRICE, such as xela:1.2", pricePattern);
     if (prices.length === 0) {
         return undefined;
     }
-    const hasReclaimable = reader.readOptionalText("reclaimable-price") !== undefined;
+    const hasReclaimablePrice = reader.readOptionalText("reclaimable-price") !== undefined;
     return {
-        minimum: reader.readInteger("minimum", 0, largestCount, 0),
-        maximum: reader.readInteger("maximum", 0, largestCount),
+        minimum: reader.readInteger("minimum", 0, maximumCount, 0),
+        maximum: reader.readInteger("maximum", 0, maximumCount),
         bootSeconds: reader.readNumber("boot-seconds", 0, 3_600),
-        reclaimablePrice: hasReclaimable ? reader.readNumber("reclaimable-price", 0, largestCount) : undefined,
+        reclaimablePrice: hasReclaimablePrice ? reader.readNumber("reclaimable-price", 0, maximumCount) : undefined,
         domainPrices: prices.map(text => {
-            const { name, amount } = parseAmount(text);
+            const { name, amount } = parseNameAndAmount(text);
             return { failureDomain: name, price: amount };
         }),
     };
 }
 
 function readRoute(name: string, reader: SectionReader, services: readonly RoutedService[]): Route {
-    const shares = reader.readList("service", "SERVICE, or SERVICE:WEIGHT for a part of the traffic", sharePattern).map(text => {
-        const share = parseAmount(text);
+    const shares = reader.readList("service", "SERVICE, or SERVICE:WEIGHT for a share of the traffic", serviceSharePattern).map(text => {
+        const share = parseNameAndAmount(text);
         return { service: share.name, weight: share.amount };
     });
     if (shares.length === 0) {
@@ -129,7 +130,7 @@
     const route: Route = {
         name,
         host: reader.readText("host", "a host name in lower case", hostPattern),
-        pathPrefix: reader.readText("path", "a path that begins and ends with a slash", prefixPattern),
+        pathPrefix: reader.readText("path", "a path that begins and ends with a slash", pathPrefixPattern),
         kind: reader.readEnum("kind", RouteKind),
         timeLimit: reader.readInteger("time-limit-milliseconds", 1, millisecondsPerHour),
         objective: reader.readInteger("objective-milliseconds", 1, millisecondsPerHour),
@@ -150,12 +151,12 @@
     const hasPriority = reader.readOptionalText("priority") !== undefined;
     const team: RoutedTeam = {
         name,
-        keys: reader.readList("key", "8 to 200 visible characters", keyPattern),
+        keys: reader.readList("key", "8 to 200 visible characters", teamKeyPattern),
         priority: hasPriority ? reader.readInteger("priority", 0, 100) : undefined,
         unit: reader.readEnum("unit", UsageUnit, UsageUnit.Requests),
-        plainTokens: reader.readNumber("default-tokens", 0, largestAmount, 0),
-        rate: reader.readNumber("rate-per-second", 0, largestAmount, 0),
-        burst: reader.readNumber("burst", 0, largestAmount, 0),
+        plainTokens: reader.readNumber("default-tokens", 0, maximumAmount, 0),
+        rate: reader.readNumber("rate-per-second", 0, maximumAmount, 0),
+        burst: reader.readNumber("burst", 0, maximumAmount, 0),
     };
     reader.checkUnknownKeys();
     return team;
@@ -163,8 +164,8 @@
 
 function readLimits(reader: SectionReader): CallerLimits {
     const limits: CallerLimits = {
-        headerBytes: reader.readInteger("header-bytes", 256, largestCount, 16_384),
-        bodyBytes: reader.readInteger("body-bytes", 1, largestAmount, 1_048_576),
+        headerBytes: reader.readInteger("header-bytes", 256, maximumCount, 16_384),
+        bodyBytes: reader.readInteger("body-bytes", 1, maximumAmount, 1_048_576),
         headerTimeout: reader.readInteger("header-timeout-milliseconds", 1, millisecondsPerHour, 5_000),
         idleTimeout: reader.readInteger("idle-timeout-milliseconds", 1, millisecondsPerHour, 15_000),
     };
@@ -172,8 +173,8 @@
     return limits;
 }
 
-/** Splits NAME:AMOUNT; without an amount it is 1. */
-function parseAmount(text: string): { readonly name: string; readonly amount: number; } {
+/** Splits NAME:AMOUNT; the amount defaults to 1. */
+function parseNameAndAmount(text: string): { readonly name: string; readonly amount: number; } {
     const separator = text.indexOf(":");
     return separator < 0 ? { name: text, amount: 1 } : { name: text.slice(0, separator), amount: Number(text.slice(separator + 1)) };
 }
--- a/src/config/sectionReader.ts
+++ b/src/config/sectionReader.ts
@@ -6,8 +6,12 @@
 
 const maximumPort = 65_535;
 
-/** Reads typed values from a section, and collects every fault instead of stopping at the first. */
+/**
+ * Reads typed values from a section of an INI file. Faults are collected instead of thrown, so that a file is checked whole;
+ * after a fault the read method returns a placeholder, which must not be used.
+ */
 export class SectionReader {
+    /** Keys that a read method has requested, whether or not the section has them. */
     private readonly knownKeys = new Set<string>();
 
     private constructor(private readonly document: IniDocument, readonly section: IniSection, private readonly faults: Diagnostic[]) {}
@@ -16,38 +20,38 @@
         return new SectionReader(document, section, faults);
     }
 
-    /** Returns a text that matches a pattern. Without a default the key is required. */
+    /** Returns a text that matches a pattern. A key without a fallback is required. */
     readText(key: string, allowed: string, pattern: RegExp, fallback?: string): string {
         return this.readValue(key, allowed, fallback, text => (pattern.test(text) ? text : undefined)) ?? "";
     }
 
-    /** Returns a text, or undefined when the key is absent. */
+    /** Returns the unchecked text of a key, or undefined when the key is absent. */
     readOptionalText(key: string): string | undefined {
         this.knownKeys.add(key);
         return this.section.entries.get(key)?.values[0];
     }
 
-    /** Returns a whole or decimal number between two bounds, both included. */
+    /** Returns a number from the minimum to the maximum, both inclusive. */
     readNumber(key: string, minimum: number, maximum: number, fallback?: number): number {
         const allowed = `a number from ${minimum} to ${maximum}`;
         return this.readValue(key, allowed, fallback, text => {
             const value = Number(text);
-            const isInside = text !== "" && Number.isFinite(value) && value >= minimum && value <= maximum;
-            return isInside ? value : undefined;
+            const isInRange = text !== "" && Number.isFinite(value) && value >= minimum && value <= maximum;
+            return isInRange ? value : undefined;
         }) ?? minimum;
     }
 
-    /** Returns a whole number between two bounds, both included. */
+    /** Returns a whole number from the minimum to the maximum, both inclusive. */
     readInteger(key: string, minimum: number, maximum: number, fallback?: number): number {
         const allowed = `a whole number from ${minimum} to ${maximum}`;
         return this.readValue(key, allowed, fallback, text => {
             const value = Number(text);
-            const isInside = text !== "" && Number.isInteger(value) && value >= minimum && value <= maximum;
-            return isInside ? value : undefined;
+            const isInRange = text !== "" && Number.isInteger(value) && value >= minimum && value <= maximum;
+            return isInRange ? value : undefined;
         }) ?? minimum;
     }
 
-    /** Returns true for yes and false for no. */
+    /** Returns true for `yes` or `true`, and false for `no` or `false`. */
     readFlag(key: string, fallback?: boolean): boolean {
         return this.readValue(key, "yes or no", fallback, text => {
             if (text === "yes" || text === "true") {
@@ -57,14 +61,14 @@
         }) ?? false;
     }
 
-    /** Returns one of the values of an enum. */
+    /** Returns the enum member whose value is the text of the key. */
     readEnum<T extends string>(key: string, values: Record<string, T>, fallback?: T): T {
         const names = Object.values(values);
         const value = this.readValue(key, names.join(", "), fallback, text => names.find(name => name === text));
         return value ?? names[0] as T;
     }
 
-    /** Returns every value of a list key, written `key[] = value`. */
+    /** Returns the values of a list key, written `key[] = value`; the list is empty when the key is absent. */
     readList(key: string, allowed: string, pattern: RegExp): string[] {
         this.knownKeys.add(key);
         const entry = this.section.entries.get(key);
@@ -77,13 +81,13 @@
         return [...values];
     }
 
-    /** Returns an address written as an IP number and a port. */
+    /** Returns an address, written as an IP number and a port. The key is required. */
     readAddress(key: string): NetworkAddress {
         const value = this.readValue<NetworkAddress>(key, "an IP number and a port, such as 10.0.0.1:8080", undefined, parseAddress);
         return value ?? { host: "", port: 0 };
     }
 
-    /** Returns an http or https URL whose host is an IP number. */
+    /** Returns an http or https URL whose host is an IP number, without a trailing slash. The key is required. */
     readUrl(key: string): string {
         return this.readValue(key, "an http or https URL whose host is an IP number", undefined, parseUrl) ?? "";
     }
@@ -97,7 +101,10 @@
         return this.readUrl(key);
     }
 
-    /** Returns the value of a key after a conversion; undefined from the conversion is a fault. */
+    /**
+     * Returns the converted value of a key, or the fallback when the key is absent. An absent key without a fallback and a text
+     * that `parse` returns undefined for are faults; the result is then undefined.
+     */
     readValue<T>(key: string, allowed: string, fallback: T | undefined, parse: (text: string) => T | undefined): T | undefined {
         this.knownKeys.add(key);
         const entry = this.section.entries.get(key);
@@ -121,7 +128,7 @@
         this.faults.push(createFileDiagnostic(this.document.file, line, message, ...values));
     }
 
-    /** Reports every key that nothing has read, with the nearest valid name. Called after the last read. */
+    /** Records a fault for each key that no read method has requested, with the most similar valid key. Call it after the last read. */
     checkUnknownKeys(): void {
         for (const key of this.section.entries.keys()) {
             if (!this.knownKeys.has(key)) {
@@ -132,13 +139,13 @@
     }
 }
 
-/** Creates the fault of a section that nobody knows, with the nearest of the forms that are. */
+/** Creates the diagnostic of an unknown section, which suggests the most similar of the valid forms, such as `route.NAME`. */
 export function createUnknownSection(document: IniDocument, section: IniSection, forms: readonly string[]): Diagnostic {
     const nearest = findNearestName(section.name, forms);
     return createFileDiagnostic(document.file, section.line, Diagnostics.Unknown_section_0_did_you_mean_1, section.name, nearest);
 }
 
-/** Returns the candidate with the smallest edit distance to a name. */
+/** Returns the candidate with the smallest edit distance to a name, or an empty text when there are no candidates. */
 export function findNearestName(name: string, candidates: readonly string[]): string {
     let nearest = candidates[0] ?? "";
     for (const candidate of candidates) {
@@ -149,7 +156,7 @@
     return nearest;
 }
 
-/** Parses an IP number and a port, or returns undefined. */
+/** Parses an IP number and a port; an IPv6 number stands in brackets. Returns undefined for any other text. */
 export function parseAddress(text: string): NetworkAddress | undefined {
     const separator = text.lastIndexOf(":");
     const host = text.slice(0, separator).replace(/^\[(.*)\]$/, "$1");
--- a/src/config/serviceFiles.ts
+++ b/src/config/serviceFiles.ts
@@ -18,27 +18,33 @@
 } from "./types.js";
 
 const nameAllowed = "lower-case letters, digits and hyphens, at most 63";
-const sectionKinds = ["team.NAME", "service.NAME", "version.SERVICE.NAME", "move.SERVICE"];
-const lookupQueueSeconds = 0.8;
-const shortSilenceMilliseconds = 2_000;
-const longSilenceMilliseconds = 5_000;
+const sectionForms = ["team.NAME", "service.NAME", "version.SERVICE.NAME", "move.SERVICE"];
+const lookupQueueTimeLimitSeconds = 0.8;
+const lookupSilenceLimitMilliseconds = 2_000;
+const defaultSilenceLimitMilliseconds = 5_000;
 const defaultRetentionSeconds = 86_400;
-/** Requests that a move needs before a version can be accepted; used to warn about deadlines that are too short. */
-export const requestsNeededByMove = 60;
+/** Number of requests that a move needs before its version can be accepted; a deadline that leaves fewer raises a warning. */
+export const minimumRequestsPerMove = 60;
 
-/** What the service files of one or more directories declare, by team. */
+/** The declarations of the service files in one or more directories, grouped by team, and the warnings about them. */
 export interface ServiceFileSet {
     readonly teams: readonly TeamConfiguration[];
     readonly warnings: readonly Diagnostic[];
 }
 
-interface FoundSection {
+/** A section of a service file with the parts of its dotted name, the section kind first. */
+interface ServiceFileSection {
     readonly document: IniDocument;
     readonly section: IniSection;
     readonly parts: readonly string[];
 }
 
-/** Reads every service file of the directories, checks all of them together, and groups them by team. */
+/**
+ * Reads the service files in the directories and their subdirectories, checks them together, and groups their declarations by
+ * team. All faults are reported together.
+ *
+ * @param now Current time in Unix milliseconds, against which the deadlines of moves are checked.
+ */
 export function readServiceFiles(directories: readonly string[], now: number): Result<ServiceFileSet, Diagnostic[]> {
     const faults: Diagnostic[] = [];
     const documents: IniDocument[] = [];
@@ -52,11 +58,11 @@
             documents.push(document.val);
         }
     }
-    const set = buildServiceFileSet(documents, faults, now);
+    const teams = buildServiceFileSet(documents, faults, now);
     if (faults.some(fault => fault.message.category === DiagnosticCategory.Error)) {
         return Err(faults);
     }
-    return Ok({ teams: set, warnings: faults });
+    return Ok({ teams, warnings: faults });
 }
 
 function listServiceFiles(directory: string, faults: Diagnostic[]): string[] {
@@ -75,7 +81,7 @@
     return files.map(name => join(directory, name));
 }
 
-/** Builds the configuration of each team from parsed files, adding every fault to the list. */
+/** Builds the configuration of each team from parsed files; faults and warnings are added to `faults`. */
 export function buildServiceFileSet(documents: readonly IniDocument[], faults: Diagnostic[], now: number): TeamConfiguration[] {
     const found = findSections(documents, faults);
     const teams = readTeams();
@@ -113,7 +119,7 @@
         for (const { reader, parts } of openSections("version")) {
             const service = parts[0] as string;
             const name = parts[1] as string;
-            const model = reader.readText("model", "the name that engines use", /^\S.*$/, name);
+            const model = reader.readText("model", "the model name under which engines serve the version", /^\S.*$/, name);
             const group = reader.readOptionalText("endpoint-group");
             result.push({ service, declaration: group === undefined ? { name, model } : { name, model, group } });
             reader.checkUnknownKeys();
@@ -164,10 +170,10 @@
                 "only model services accept asynchronous requests",
             );
         }
-        const silence = priority === Priority.Lookup ? shortSilenceMilliseconds : longSilenceMilliseconds;
+        const silenceLimit = priority === Priority.Lookup ? lookupSilenceLimitMilliseconds : defaultSilenceLimitMilliseconds;
         const version = reader.readText("version", nameAllowed, namePattern);
-        const ownVersions = versions.filter(entry => entry.service === name).map(entry => entry.declaration);
-        if (version !== "" && !ownVersions.some(entry => entry.name === version)) {
+        const serviceVersions = versions.filter(entry => entry.service === name).map(entry => entry.declaration);
+        if (version !== "" && !serviceVersions.some(entry => entry.name === version)) {
             reader.addFault("version", Diagnostics.Version_0_of_service_1_is_not_declared, version, name);
         }
         const timeLimitSeconds = reader.readNumber("time-limit-seconds", 0.05, 86_400);
@@ -176,13 +182,13 @@
             kind,
             group: reader.readText("endpoint-group", nameAllowed, namePattern),
             version,
-            versions: ownVersions,
+            versions: serviceVersions,
             priority,
             idempotent: isIdempotent,
             acceptsAsync,
             timeLimit: timeLimitSeconds * millisecondsPerSecond,
             queueTimeLimit: readQueueTimeLimit(reader, timeLimitSeconds, priority),
-            silenceLimit: reader.readInteger("silence-limit-milliseconds", 50, 60_000, silence),
+            silenceLimit: reader.readInteger("silence-limit-milliseconds", 50, 60_000, silenceLimit),
             retentionSeconds: reader.readInteger("retention-seconds", 60, 31_536_000, defaultRetentionSeconds),
             maxTokens: reader.readInteger("max-tokens", 1, 32_768, 2_048),
             queueLimit: reader.readInteger("queue-limit", 1, 100_000, 1_000),
@@ -199,7 +205,7 @@
     }
 
     function readQueueTimeLimit(reader: SectionReader, timeLimitSeconds: number, priority: Priority): number {
-        const fallback = priority === Priority.Lookup ? Math.min(lookupQueueSeconds, timeLimitSeconds) : timeLimitSeconds;
+        const fallback = priority === Priority.Lookup ? Math.min(lookupQueueTimeLimitSeconds, timeLimitSeconds) : timeLimitSeconds;
         const seconds = reader.readNumber("queue-time-limit-seconds", 0.01, 86_400, fallback);
         if (seconds > timeLimitSeconds) {
             reader.addFault(
@@ -207,7 +213,7 @@
                 Diagnostics.Key_0_contradicts_key_1_2,
                 "queue-time-limit-seconds",
                 "time-limit-seconds",
-                "it is longer",
+                "the queue time limit must not exceed the time limit",
             );
         }
         return Math.ceil(seconds * millisecondsPerSecond);
@@ -224,7 +230,13 @@
                 reader.addFault("to", Diagnostics.Version_0_of_service_1_is_not_declared, to, service);
             }
             if (declaration !== undefined && declaration.version === to) {
-                reader.addFault("to", Diagnostics.Key_0_contradicts_key_1_2, "to", "version", "the move leads to the version in use");
+                reader.addFault(
+                    "to",
+                    Diagnostics.Key_0_contradicts_key_1_2,
+                    "to",
+                    "version",
+                    "a move must lead to a version other than the current one",
+                );
             }
             const deadline = reader.readValue("deadline", "a date and time such as 2026-12-24T18:00:00Z", undefined, text => {
                 const time = Date.parse(text);
@@ -241,40 +253,40 @@
 
     function checkDeadline(reader: SectionReader, service: ServiceDeclaration, deadline: number): void {
         const expectedRequests = Math.max(0, deadline - now) / millisecondsPerHour * service.requestsPerHour;
-        if (expectedRequests < requestsNeededByMove) {
+        if (expectedRequests < minimumRequestsPerMove) {
             const time = new Date(deadline).toISOString();
             reader.addFault(
                 "deadline",
                 Diagnostics.Deadline_0_of_move_1_leaves_too_few_requests_2,
                 time,
                 service.name,
-                requestsNeededByMove,
+                minimumRequestsPerMove,
             );
         }
     }
 }
 
-function findSections(documents: readonly IniDocument[], faults: Diagnostic[]): FoundSection[] {
+function findSections(documents: readonly IniDocument[], faults: Diagnostic[]): ServiceFileSection[] {
     const partCounts: Record<string, number> = { team: 2, service: 2, version: 3, move: 2 };
-    const found = new Map<string, FoundSection>();
+    const found = new Map<string, ServiceFileSection>();
     for (const document of documents) {
         for (const section of document.sections) {
             const parts = section.name.split(".");
             const isKnown = partCounts[parts[0] as string] === parts.length && parts.every(part => namePattern.test(part));
             if (!isKnown) {
-                faults.push(createUnknownSection(document, section, sectionKinds));
+                faults.push(createUnknownSection(document, section, sectionForms));
                 continue;
             }
             const existing = found.get(section.name);
             if (existing !== undefined) {
-                const place = existing.section.line;
+                const existingLine = existing.section.line;
                 faults.push(
                     createFileDiagnostic(
                         document.file,
                         section.line,
                         Diagnostics.Section_0_is_given_twice_first_on_line_1,
                         section.name,
-                        place,
+                        existingLine,
                     ),
                 );
                 continue;
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -12,10 +12,10 @@
 const fixedSections = ["node", "listen", "platform", "operators", "tls", "limits", "timing", "logging", "tracing", "notifications"];
 const requiredSections = ["node", "listen", "platform"];
 
-/** Environment variables that settings may name for secrets. */
+/** Environment variables, from which the settings may take secrets. */
 export type Environment = Record<string, string | undefined>;
 
-/** Reads and checks a daemon's settings; every fault of the file is reported together. */
+/** Reads and checks the settings file of a node daemon; all faults are reported together. */
 export function readNodeSettings(file: string, environment: Environment): Result<NodeSettings, Diagnostic[]> {
     const document = readIniDocument(file);
     if (document.err) {
@@ -24,7 +24,7 @@
     return parseNodeSettings(document.val, environment);
 }
 
-/** Checks a parsed settings file. */
+/** Checks a parsed settings file and reads its secrets; all faults are reported together. */
 export function parseNodeSettings(document: IniDocument, environment: Environment): Result<NodeSettings, Diagnostic[]> {
     const faults: Diagnostic[] = [];
     checkSectionNames();
@@ -50,9 +50,9 @@
 
     function openSection(name: string): SectionReader {
         const section: IniSection = document.sections.find(candidate => candidate.name === name) ?? { name, line: 1, entries: new Map() };
-        // Faults of a required section that is absent are summed up by one diagnostic.
-        const isAbsent = section.entries.size === 0 && requiredSections.includes(name);
-        return SectionReader.create(document, section, isAbsent ? [] : faults);
+        // checkSectionNames reports an absent required section once; the faults of its keys are discarded. So are those of a section without keys.
+        const isRequiredSectionEmpty = section.entries.size === 0 && requiredSections.includes(name);
+        return SectionReader.create(document, section, isRequiredSectionEmpty ? [] : faults);
     }
 
     function readAll(): NodeSettings {
@@ -178,11 +178,12 @@
         return timing;
     }
 
+    /** Returns the secret in the file or the environment variable that a key names, or undefined when neither key is set. */
     function readSecret(reader: SectionReader, fileKey: string, environmentKey: string): string | undefined {
         const file = reader.readOptionalText(fileKey);
         const variable = reader.readOptionalText(environmentKey);
         if (file !== undefined && variable !== undefined) {
-            reader.addFault(fileKey, Diagnostics.Key_0_contradicts_key_1_2, fileKey, environmentKey, "give one of the two");
+            reader.addFault(fileKey, Diagnostics.Key_0_contradicts_key_1_2, fileKey, environmentKey, "only one of the two keys may be set");
             return undefined;
         }
         if (file !== undefined) {
--- a/src/config/types.ts
+++ b/src/config/types.ts
@@ -1,40 +1,40 @@
 import { z } from "zod";
 
-/** What stands behind a service. */
+/** Kind of the endpoints that serve a service: model engines or plain HTTP services. */
 export enum ServiceKind {
     Model = "model",
     Plain = "plain",
 }
 
-/** Order in which queued requests get an endpoint, the most urgent first. */
+/** Priority class of queued requests, in the order in which they are assigned to endpoints. */
 export enum Priority {
     Lookup = "lookup",
     Effect = "effect",
     Draft = "draft",
 }
 
-/** The shape of names in files and in the platform. */
+/** Pattern of the names of nodes, teams, services, versions and groups, in files and in the platform. */
 export const namePattern = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
 const nameSchema = z.string().regex(namePattern);
 
-/** One version of a service as endpoints know it. */
+/** Schema of one version of a service. */
 export const versionSchema = z.object({
     name: nameSchema,
-    /** Name under which engines serve the version. */
+    /** Model name under which engines serve the version. */
     model: z.string().min(1),
-    /** Endpoint group of the version, where it differs from the service's. */
+    /** Endpoint group that serves the version; undefined means the group of the service. */
     group: nameSchema.optional(),
 });
 
-/** How much a service's routing weighs each concern; only the proportions matter. */
+/** Schema of the weights of latency, cost and prefix reuse in the routing of a service; only their ratios matter. */
 export const routingWeightsSchema = z.object({
     latency: z.number().min(0),
     cost: z.number().min(0),
     prefix: z.number().min(0),
 });
 
-/** A service as its team declares it. Times are in milliseconds unless the name says otherwise. */
+/** Schema of a service declaration. Times are in milliseconds unless the name has another unit. */
 export const serviceSchema = z.object({
     name: nameSchema,
     kind: z.enum(ServiceKind),
@@ -45,8 +45,9 @@
     idempotent: z.boolean(),
     acceptsAsync: z.boolean(),
     timeLimit: z.number().int().positive(),
-    /** Longest wait for an endpoint before the request is refused. */
+    /** Time that a request may wait for an endpoint before it is refused. */
     queueTimeLimit: z.number().int().positive(),
+    /** Idle timeout of a running request. */
     silenceLimit: z.number().int().positive(),
     retentionSeconds: z.number().int().positive(),
     maxTokens: z.number().int().positive(),
@@ -56,7 +57,7 @@
     weights: routingWeightsSchema,
 });
 
-/** A team: who may call, with which token, how much. */
+/** Schema of a team declaration: the hashes of its bearer tokens, its rate limit and its share of the capacity. */
 export const teamSchema = z.object({
     name: nameSchema,
     tokenHashes: z.array(z.string().regex(/^[0-9a-f]{64}$/)),
@@ -64,15 +65,15 @@
     share: z.number().positive(),
 });
 
-/** A version move as its team declares it. */
+/** Schema of a version move declaration. */
 export const moveSchema = z.object({
     service: nameSchema,
     to: nameSchema,
-    /** Unix milliseconds by which the move is completed or taken back. */
+    /** Time by which the move is completed or rolled back, in Unix milliseconds. */
     deadline: z.number().int(),
 });
 
-/** The object that holds everything one team declares. */
+/** Schema of a configuration object: the declarations of one team. */
 export const teamConfigurationSchema = z.object({
     team: teamSchema,
     services: z.array(serviceSchema),
@@ -86,34 +87,34 @@
 export type MoveDeclaration = z.infer<typeof moveSchema>;
 export type TeamConfiguration = z.infer<typeof teamConfigurationSchema>;
 
-/** An address to listen on or to connect to. */
+/** Address to listen on or to connect to; the host is an IP number. */
 export interface NetworkAddress {
     readonly host: string;
     readonly port: number;
 }
 
-/** Another node, as the settings name it. */
+/** A peer node that is listed in the settings. */
 export interface PeerSettings {
     readonly name: string;
     readonly failureDomain: string;
     readonly address: NetworkAddress;
 }
 
-/** Files of the certificates for connections between nodes. */
+/** Paths of the TLS files for connections between nodes. */
 export interface TlsSettings {
     readonly certificateFile: string;
     readonly keyFile: string;
     readonly authorityFile: string;
 }
 
-/** An endpoint group whose endpoints behave alike. */
+/** Settings of an endpoint group. */
 export interface EndpointGroupSettings {
     readonly name: string;
-    /** Whether the group's endpoints refuse an order that carries an old fencing number. */
+    /** Whether the endpoints of the group refuse an order with an outdated fencing number. */
     readonly checksFencing: boolean;
 }
 
-/** Bounds of a node. Times are in milliseconds. */
+/** Limits of a node: sizes in bytes, counts of open requests and of concurrent requests per endpoint. */
 export interface LimitSettings {
     readonly bodyBytes: number;
     readonly answerBytes: number;
@@ -122,22 +123,27 @@
     readonly endpointConcurrency: number;
 }
 
-/** Waits of a node, in milliseconds. */
+/** Timeouts and intervals of a node, in milliseconds. */
 export interface TimingSettings {
+    /** Delay at shutdown between reporting the node as not ready and refusing new requests. */
     readonly readinessGrace: number;
+    /** Time from the start of the shutdown that open requests may take to finish. */
     readonly drainLimit: number;
     readonly exchangeInterval: number;
+    /** Time without an update after which a peer is considered unreachable. */
     readonly peerSilence: number;
     readonly platformTimeout: number;
+    /** Idle timeout of the connection that watches objects of the platform. */
     readonly watchSilence: number;
     readonly hostListInterval: number;
+    /** Interval at which the load of engines is polled. */
     readonly loadInterval: number;
     readonly leaseTerm: number;
     readonly quarantineTerm: number;
     readonly connectTimeout: number;
 }
 
-/** The settings of one daemon. */
+/** Settings of one node daemon. */
 export interface NodeSettings {
     readonly name: string;
     readonly failureDomain: string;
