--- a/src/config/configurationSet.ts
+++ b/src/config/configurationSet.ts
@@ -76,7 +76,7 @@
         return this.listObjects().find(object => object.configuration.services.some(service => service.name === serviceName))?.team;
     }
 
-    /** Returns the team that a bearer token belongs to. All hashes are compared, so the time does not depend on which one matches. */
+    /** Returns the team of a bearer token. Compares all hashes, so that the time does not depend on which one matches. */
     findTeamByToken(token: string): TeamDeclaration | undefined {
         const hash = hashSha256(token);
         let team: string | undefined;
--- a/src/config/gatewaySettings.ts
+++ b/src/config/gatewaySettings.ts
@@ -22,7 +22,7 @@
     "tracing",
 ];
 const requiredSections = ["node", "listen", "store"];
-/** Share of the accepted exposure that a trial uses by default; the rest is for requests that move before the old version stops. */
+/** Default share of the accepted exposure that a trial uses; the rest is for requests that move before the old version stops. */
 const defaultTrialShareOfExposure = 0.4;
 const visibleTextPattern = /^[!-~]{1,200}$/;
 const visibleTextAllowed = "1 to 200 visible characters";
@@ -77,11 +77,11 @@
         readonly shrinkDelay: number;
         readonly reclaimableShrinkDelay: number;
     };
-    /** Units by which all nodes together may exceed the usage cap of a team, and the length of the window that the cap applies to. */
+    /** Units by which all nodes together may exceed the usage cap of a team, and the window over which this is checked. */
     readonly caps: { readonly slack: number; readonly window: number; };
     /** Length of a usage window, and the time after its end within which its report is due. */
     readonly usage: { readonly windowLength: number; readonly dueTime: number; };
-    /** Version moves: the share of requests that a version under evaluation gets, and the exposure to a bad version that operators accept. */
+    /** Version moves: share of requests for a version under evaluation, and exposure to a bad version that operators accept. */
     readonly versions: { readonly trialShare: number; readonly exposure: { readonly share: number; readonly slack: number; }; };
     readonly timing: GatewayTiming;
     readonly collectorUrl: string | undefined;
@@ -110,7 +110,8 @@
 
     function openSection(name: string): SectionReader {
         const section = document.sections.find(candidate => candidate.name === name) ?? { name, line: 1, entries: new Map() };
-        // checkSections reports an absent required section once; the faults of its keys are discarded. So are those of a section without keys.
+        // checkSections reports an absent required section once, so the faults of its keys are discarded.
+        // The same holds for a required section without keys.
         const isRequiredSectionEmpty = section.entries.size === 0 && requiredSections.includes(name);
         const reader = SectionReader.create(document, section, isRequiredSectionEmpty ? [] : faults);
         readers.set(name, reader);
--- a/src/config/sectionReader.ts
+++ b/src/config/sectionReader.ts
@@ -128,7 +128,7 @@
         this.faults.push(createFileDiagnostic(this.document.file, line, message, ...values));
     }
 
-    /** Records a fault for each key that no read method has requested, with the most similar valid key. Call it after the last read. */
+    /** Records a fault for each key that no read method has requested, with the most similar valid key. Call after the last read. */
     checkUnknownKeys(): void {
         for (const key of this.section.entries.keys()) {
             if (!this.knownKeys.has(key)) {
--- a/src/config/serviceFiles.ts
+++ b/src/config/serviceFiles.ts
@@ -19,8 +19,8 @@
 
 const nameAllowed = "lower-case letters, digits and hyphens, at most 63";
 const sectionForms = ["team.NAME", "service.NAME", "version.SERVICE.NAME", "move.SERVICE"];
-const lookupQueueTimeLimitSeconds = 0.8;
-const lookupSilenceLimitMilliseconds = 2_000;
+const defaultLookupQueueTimeLimitSeconds = 0.8;
+const defaultLookupSilenceLimitMilliseconds = 2_000;
 const defaultSilenceLimitMilliseconds = 5_000;
 const defaultRetentionSeconds = 86_400;
 /** Number of requests that a move needs before its version can be accepted; a deadline that leaves fewer raises a warning. */
@@ -58,11 +58,11 @@
             documents.push(document.val);
         }
     }
-    const teams = buildServiceFileSet(documents, faults, now);
+    const teamConfigurations = buildServiceFileSet(documents, faults, now);
     if (faults.some(fault => fault.message.category === DiagnosticCategory.Error)) {
         return Err(faults);
     }
-    return Ok({ teams, warnings: faults });
+    return Ok({ teams: teamConfigurations, warnings: faults });
 }
 
 function listServiceFiles(directory: string, faults: Diagnostic[]): string[] {
@@ -170,7 +170,7 @@
                 "only model services accept asynchronous requests",
             );
         }
-        const silenceLimit = priority === Priority.Lookup ? lookupSilenceLimitMilliseconds : defaultSilenceLimitMilliseconds;
+        const silenceLimit = priority === Priority.Lookup ? defaultLookupSilenceLimitMilliseconds : defaultSilenceLimitMilliseconds;
         const version = reader.readText("version", nameAllowed, namePattern);
         const serviceVersions = versions.filter(entry => entry.service === name).map(entry => entry.declaration);
         if (version !== "" && !serviceVersions.some(entry => entry.name === version)) {
@@ -205,7 +205,7 @@
     }
 
     function readQueueTimeLimit(reader: SectionReader, timeLimitSeconds: number, priority: Priority): number {
-        const fallback = priority === Priority.Lookup ? Math.min(lookupQueueTimeLimitSeconds, timeLimitSeconds) : timeLimitSeconds;
+        const fallback = priority === Priority.Lookup ? Math.min(defaultLookupQueueTimeLimitSeconds, timeLimitSeconds) : timeLimitSeconds;
         const seconds = reader.readNumber("queue-time-limit-seconds", 0.01, 86_400, fallback);
         if (seconds > timeLimitSeconds) {
             reader.addFault(
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -50,7 +50,8 @@
 
     function openSection(name: string): SectionReader {
         const section: IniSection = document.sections.find(candidate => candidate.name === name) ?? { name, line: 1, entries: new Map() };
-        // checkSectionNames reports an absent required section once; the faults of its keys are discarded. So are those of a section without keys.
+        // checkSectionNames reports an absent required section once, so the faults of its keys are discarded.
+        // The same holds for a required section without keys.
         const isRequiredSectionEmpty = section.entries.size === 0 && requiredSections.includes(name);
         return SectionReader.create(document, section, isRequiredSectionEmpty ? [] : faults);
     }
--- a/src/config/types.ts
+++ b/src/config/types.ts
@@ -57,7 +57,7 @@
     weights: routingWeightsSchema,
 });
 
-/** Schema of a team declaration: the hashes of its bearer tokens, its rate limit and its share of the capacity. */
+/** Schema of a team declaration: the hashes of its bearer tokens, its rate limit and its weight in the fair queueing of requests. */
 export const teamSchema = z.object({
     name: nameSchema,
     tokenHashes: z.array(z.string().regex(/^[0-9a-f]{64}$/)),
