--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,16 +1,16 @@
 import { setTimeout as delay } from "node:timers/promises";
 
-/** Reads time and waits; injected so that tests control it. */
+/** Source of time and delays; injected so that tests control time. */
 export interface Clock {
     /** Returns the wall-clock time in Unix milliseconds. */
     getWallTime(): number;
-    /** Returns a time in milliseconds that never goes backwards. */
+    /** Returns the monotonic time in milliseconds, which never goes backwards. */
     getMonotonicTime(): number;
     /** Waits for a number of milliseconds; returns early, without an error, when the signal aborts. */
     sleep(milliseconds: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The clock of the machine. */
+/** Clock of the operating system. */
 export class SystemClock implements Clock {
     private constructor() {}
 
@@ -31,7 +31,7 @@
             await delay(milliseconds, undefined, { signal });
         }
         catch {
-            // The only error is the abort, which callers read from their own signal.
+            // The only possible error is the abort, which callers detect through their own signal.
         }
     }
 }
--- a/src/common/debug.ts
+++ b/src/common/debug.ts
@@ -1,6 +1,6 @@
-/** Throws when an invariant of the program is broken. Input from outside is validated elsewhere, never here. */
+/** Throws when an invariant of the program is violated. External input must be validated by a schema instead. */
 export function checkInvariant(condition: boolean, message: string): asserts condition {
     if (!condition) {
-        throw new Error(`Broken invariant: ${message}`);
+        throw new Error(`Invariant violated: ${message}`);
     }
 }
--- a/src/common/diagnostics.ts
+++ b/src/common/diagnostics.ts
@@ -1,4 +1,4 @@
-/** How grave a diagnostic is. */
+/** Severity of a diagnostic. */
 export enum DiagnosticCategory {
     Error = "error",
     Warning = "warning",
@@ -10,15 +10,17 @@
     readonly code: number;
     readonly category: DiagnosticCategory;
     readonly text: string;
-    /** HTTP status of an answer that reports this diagnostic. */
+    /** HTTP status of a response that reports this diagnostic. */
     readonly status: number;
 }
 
-/** A diagnostic message with its placeholders filled in and the place that it is about. */
+/** A diagnostic message with its placeholders filled in, and the location that it refers to. */
 export interface Diagnostic {
     readonly message: DiagnosticMessage;
     readonly text: string;
+    /** Path of the file, or undefined when the diagnostic refers to no file. */
     readonly file?: string;
+    /** Line in the file, counted from 1, or undefined when the diagnostic refers to the whole file. */
     readonly line?: number;
 }
 
@@ -30,11 +32,11 @@
     return { code, category: DiagnosticCategory.Warning, text, status: 200 };
 }
 
-function createNote(code: number, text: string): DiagnosticMessage {
+function createMessage(code: number, text: string): DiagnosticMessage {
     return { code, category: DiagnosticCategory.Message, text, status: 200 };
 }
 
-/** Every text that callers and operators read. Codes are never used again for another meaning. */
+/** Messages shown to callers and operators. A code is never reused for another meaning. */
 export const Diagnostics = {
     // Settings and service files.
     File_0_cannot_be_read_1: createError(1001, "File '{0}' cannot be read: {1}."),
@@ -62,7 +64,7 @@
         "Deadline {0} of the move of service '{1}' is too short for its traffic: about {2} requests are needed.",
     ),
 
-    // Refusals to callers.
+    // Requests rejected because of the request or the caller.
     Authorization_is_missing: createError(2001, "The Authorization header with a bearer token is missing.", 401),
     Token_is_not_known: createError(2002, "The bearer token is not known.", 401),
     Service_0_is_not_declared: createError(2003, "Service '{0}' is not declared.", 404),
@@ -85,7 +87,7 @@
     Method_0_is_not_allowed: createError(2016, "Method '{0}' is not allowed here.", 405),
     Service_0_does_not_accept_asynchronous_requests: createError(2017, "Service '{0}' does not accept asynchronous requests.", 400),
 
-    // Outcomes of the data path.
+    // Failures while a request is routed or run.
     No_endpoint_is_available_for_service_0: createError(3001, "No endpoint is available for service '{0}'.", 503),
     Endpoint_refused_the_connection_0: createError(3002, "The endpoint refused the connection: {0}.", 503),
     Connection_was_lost_after_the_request_was_sent_0: createError(3003, "The connection was lost after the request was sent: {0}.", 502),
@@ -114,11 +116,11 @@
         422,
     ),
     Retry_budget_is_spent: createError(3016, "The retry budget is spent; the request is not tried again.", 503),
-    Endpoint_is_leaving: createError(3017, "The endpoint is leaving.", 503),
-    Answer_names_another_request_0: createError(3018, "The endpoint's answer names another request: '{0}'.", 502),
+    Endpoint_is_leaving: createError(3017, "The endpoint is draining.", 503),
+    Answer_names_another_request_0: createError(3018, "The endpoint's response names another request: '{0}'.", 502),
     Configuration_is_not_loaded: createError(3019, "The configuration is not loaded yet.", 503),
-    Answer_is_larger_than_0_bytes: createError(3020, "The endpoint's answer is larger than {0} bytes.", 502),
-    Endpoint_sent_an_answer_that_cannot_be_read: createError(3021, "The endpoint sent an answer that cannot be read.", 502),
+    Answer_is_larger_than_0_bytes: createError(3020, "The endpoint's response is larger than {0} bytes.", 502),
+    Endpoint_sent_an_answer_that_cannot_be_read: createError(3021, "The endpoint sent a response that cannot be parsed.", 502),
     Request_failed_at_0_attempts_last_1: createError(3022, "The request failed at {0} attempts; the last one: {1}", 502),
 
     Another_endpoint_has_the_address: createError(3023, "Another endpoint has the address.", 503),
@@ -130,20 +132,24 @@
     ),
     Headers_are_larger_than_0_bytes: createError(3026, "The headers are larger than {0} bytes.", 431),
     Answer_broke_off: createError(3027, "The endpoint's answer broke off.", 502),
-    Endpoint_did_not_answer_in_time: createError(3028, "The endpoint did not answer before the deadline.", 504),
+    Endpoint_did_not_answer_in_time: createError(3028, "The endpoint did not respond before the deadline.", 504),
     Deadline_passed_before_it_ran: createError(3029, "The deadline passed before the request could run.", 503),
 
-    Request_ended_0_endpoints_and_is_not_sent_again: createError(3030, "The request ended {0} endpoints and is not sent again.", 503),
+    Request_ended_0_endpoints_and_is_not_sent_again: createError(
+        3030,
+        "{0} endpoints crashed while running the request; it is not retried.",
+        503,
+    ),
 
     // Platform.
     Revision_conflict_on_0: createError(4001, "Object '{0}' was changed by another writer.", 409),
-    Platform_answered_with_status_0: createError(4002, "The platform answered with status {0}.", 503),
+    Platform_answered_with_status_0: createError(4002, "The platform responded with status {0}.", 503),
     Platform_did_not_answer_0: createError(4003, "The platform did not answer: {0}.", 503),
     Write_of_0_has_an_unknown_outcome: createError(4005, "The write of object '{0}' has an unknown outcome: {1}.", 503),
 
     Lease_0_is_not_held: createError(4006, "Lease '{0}' is not held.", 503),
 
-    // Operators.
+    // Operator interface.
     Operator_token_is_not_known: createError(5001, "The operator token is missing or not known.", 401),
     Endpoint_0_is_not_known: createError(5002, "Endpoint '{0}' is not known.", 404),
     Move_of_service_0_is_not_known: createError(5003, "No move of service '{0}' is known.", 404),
@@ -153,47 +159,47 @@
     // Command line.
     Node_at_0_did_not_answer_1: createError(6001, "The node at {0} did not answer: {1}."),
     Node_at_0_refused_1: createError(6014, "The node at {0} refused: {1}"),
-    Published_team_0_at_revision_1: createNote(6002, "Published team '{0}' at revision {1}."),
-    Team_0_is_unchanged_at_revision_1: createNote(6003, "Team '{0}' is unchanged at revision {1}."),
+    Published_team_0_at_revision_1: createMessage(6002, "Published team '{0}' at revision {1}."),
+    Team_0_is_unchanged_at_revision_1: createMessage(6003, "Team '{0}' is unchanged at revision {1}."),
     Team_0_was_published_by_another_operator_read_and_retry: createError(
         6004,
         "Team '{0}' was published by another operator meanwhile. Look at the difference with --dry-run and publish again.",
     ),
-    Checked_0_services_of_1_teams: createNote(6005, "Checked {0} services of {1} teams: no errors."),
-    Checked_0_routes_to_1_services: createNote(6030, "Checked {0} routes to {1} services: no errors."),
-    Published_routes_as_version_0: createNote(6031, "Published the routes as version {0}."),
-    Routes_are_unchanged_at_version_0: createNote(6032, "The routes are unchanged at version {0}."),
+    Checked_0_services_of_1_teams: createMessage(6005, "Checked {0} services of {1} teams: no errors."),
+    Checked_0_routes_to_1_services: createMessage(6030, "Checked {0} routes to {1} services: no errors."),
+    Published_routes_as_version_0: createMessage(6031, "Published the routes as version {0}."),
+    Routes_are_unchanged_at_version_0: createMessage(6032, "The routes are unchanged at version {0}."),
     Routes_were_published_by_another_operator_read_and_retry: createError(
         6033,
         "The routes were published by another operator meanwhile. Read what is in force and publish again.",
     ),
-    In_force_on_0_of_1_nodes: createNote(6006, "In force on {0} of {1} nodes."),
-    Node_0_could_not_be_asked_1: createWarning(6007, "Node '{0}' could not be asked: {1}."),
+    In_force_on_0_of_1_nodes: createMessage(6006, "In force on {0} of {1} nodes."),
+    Node_0_could_not_be_asked_1: createWarning(6007, "Node '{0}' could not be queried: {1}."),
     Trace_line_cannot_be_read_0: createError(6008, "The trace line cannot be read: {0}."),
     Outcome_0_failed_expected_1_saw_2: createError(6009, "Outcome '{0}' failed: expected {1}, saw {2}."),
-    Settings_are_valid: createNote(6010, "The settings are valid."),
+    Settings_are_valid: createMessage(6010, "The settings are valid."),
     Outcomes_file_cannot_be_read_0: createError(6011, "The outcomes file cannot be read: {0}."),
-    Endpoint_0_is_draining: createNote(6012, "Endpoint '{0}' is draining."),
+    Endpoint_0_is_draining: createMessage(6012, "Endpoint '{0}' is draining."),
     File_0_exists: createError(6015, "File '{0}' exists; --force replaces it."),
     Certificate_0_is_not_valid_1: createError(6016, "Certificate '{0}' is not valid: {1}."),
     No_line_names_request_0: createError(
         6017,
         "No line names request '{0}' ({1} lines read). Lines of served requests are sampled under load.",
     ),
-    Every_outcome_holds: createNote(6013, "Every stated outcome holds."),
+    Every_outcome_holds: createMessage(6013, "Every stated outcome holds."),
 } as const;
 
-/** Fills in the placeholders of a message. */
+/** Returns the text of a message with its placeholders filled in; a placeholder without a value is kept. */
 export function formatMessage(message: DiagnosticMessage, ...values: (string | number)[]): string {
     return message.text.replace(/\{(\d+)\}/g, (placeholder, index: string) => String(values[Number(index)] ?? placeholder));
 }
 
-/** Creates a diagnostic without a place. */
+/** Creates a diagnostic that refers to no file. */
 export function createDiagnostic(message: DiagnosticMessage, ...values: (string | number)[]): Diagnostic {
     return { message, text: formatMessage(message, ...values) };
 }
 
-/** Creates a diagnostic about a line of a file. */
+/** Creates a diagnostic about a line of a file, or about the whole file when the line is undefined. */
 export function createFileDiagnostic(
     file: string,
     line: number | undefined,
@@ -203,12 +209,12 @@
     return { message, text: formatMessage(message, ...values), file, line };
 }
 
-/** Formats a diagnostic as one line: place, category, code and text. */
+/** Formats a diagnostic as one line: location, category, code and text. */
 export function formatDiagnostic(diagnostic: Diagnostic): string {
     const label = `${diagnostic.message.category} CW${diagnostic.message.code}: ${diagnostic.text}`;
     if (diagnostic.file === undefined) {
         return label;
     }
-    const place = diagnostic.line === undefined ? diagnostic.file : `${diagnostic.file}:${diagnostic.line}`;
-    return `${place} - ${label}`;
+    const location = diagnostic.line === undefined ? diagnostic.file : `${diagnostic.file}:${diagnostic.line}`;
+    return `${location} - ${label}`;
 }
--- a/src/common/eventLog.ts
+++ b/src/common/eventLog.ts
@@ -4,36 +4,39 @@
 import { LogEventKind, LogEvents } from "./logEvents.js";
 import { millisecondsPerSecond } from "./units.js";
 
-const standardOutput = 1;
-/** Time for which lines are gathered before they are written together, in milliseconds. */
-const gatherMilliseconds = 100;
-/** Lines that wait while the reader of the output is slow, in bytes; further ones are left out. */
-const waitingBytes = 262_144;
+const standardOutputDescriptor = 1;
+/** Time for which lines are buffered so that one write carries several, in milliseconds. */
+const flushDelayMilliseconds = 100;
+/** Upper bound of the lines buffered while the reader of the output is slow, in bytes; further lines are dropped. */
+const maximumBufferedBytes = 262_144;
 
-/** What a line tells besides its kind. */
+/** Fields of a log line besides its kind; undefined values are omitted from the JSON. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes structured lines, one for each event, within a bound for each kind. */
+/** Structured log with one line per event and a rate limit for each kind of event. */
 export interface EventLog {
+    /** Logs an event; the line is dropped and counted when its kind is over its rate limit. */
     log(kind: LogEventKind, fields: LogFields): void;
-    /** Writes what is gathered. */
+    /** Writes the buffered lines. */
     flush(): Promise<void>;
 }
 
-interface KindWindow {
+/** Counts of one kind of event in its current window of at least a second. */
+interface RateWindow {
+    /** Start of the window on the monotonic clock, in milliseconds. */
     startedAt: number;
-    lines: number;
-    leftOut: number;
+    writtenLines: number;
+    droppedLines: number;
 }
 
-/** Writes JSON lines without ever waiting for the reader of the output. */
+/** Event log that writes JSON lines to standard output and never blocks on a slow reader: it drops lines instead. */
 export class JsonEventLog implements EventLog {
-    private readonly windows = new Map<string, KindWindow>();
+    private readonly windowsByKind = new Map<string, RateWindow>();
 
-    private constructor(private readonly logger: Logger, private readonly output: GatheringOutput) {}
+    private constructor(private readonly logger: Logger, private readonly output: BufferedOutput) {}
 
     static create(node: string): JsonEventLog {
-        const output = GatheringOutput.create(standardOutput);
+        const output = BufferedOutput.create(standardOutputDescriptor);
         const logger = createLogger({
             defaultMeta: { node },
             format: format.combine(format.timestamp(), format.json()),
@@ -44,11 +47,11 @@
 
     log(kind: LogEventKind, fields: LogFields): void {
         const window = this.getWindow(kind);
-        if (window.lines >= kind.linesPerSecond) {
-            window.leftOut += 1;
+        if (window.writtenLines >= kind.linesPerSecond) {
+            window.droppedLines += 1;
             return;
         }
-        window.lines += 1;
+        window.writtenLines += 1;
         this.logger.log(kind.level, kind.name, fields);
     }
 
@@ -56,22 +59,23 @@
         await this.output.flush();
     }
 
-    private getWindow(kind: LogEventKind): KindWindow {
+    /** Returns the current window of a kind. Opens a new one after a second and then logs how many lines the last one dropped. */
+    private getWindow(kind: LogEventKind): RateWindow {
         const now = performance.now();
-        const known = this.windows.get(kind.name);
-        if (known !== undefined && now - known.startedAt < millisecondsPerSecond) {
-            return known;
+        const previous = this.windowsByKind.get(kind.name);
+        if (previous !== undefined && now - previous.startedAt < millisecondsPerSecond) {
+            return previous;
         }
-        const fresh: KindWindow = { startedAt: now, lines: 0, leftOut: 0 };
-        this.windows.set(kind.name, fresh);
-        if (known !== undefined && known.leftOut > 0) {
-            this.logger.log(LogEvents.LinesLeftOut.level, LogEvents.LinesLeftOut.name, { kind: kind.name, lines: known.leftOut });
+        const next: RateWindow = { startedAt: now, writtenLines: 0, droppedLines: 0 };
+        this.windowsByKind.set(kind.name, next);
+        if (previous !== undefined && previous.droppedLines > 0) {
+            this.logger.log(LogEvents.LinesLeftOut.level, LogEvents.LinesLeftOut.name, { kind: kind.name, lines: previous.droppedLines });
         }
-        return fresh;
+        return next;
     }
 }
 
-/** Writes nothing; for tests. */
+/** Event log that discards every line, for tests. */
 export class SilentEventLog implements EventLog {
     private constructor() {}
 
@@ -84,11 +88,11 @@
     async flush(): Promise<void> {}
 }
 
-/** Gathers lines and writes them in the background. A file descriptor's own stream may block the process on a slow pipe. */
-class GatheringOutput extends Writable {
-    private lines: Buffer[] = [];
-    private bytes = 0;
-    private leftOut = 0;
+/** Stream that buffers lines and writes them in the background, because process.stdout may block the process on a slow pipe. */
+class BufferedOutput extends Writable {
+    private bufferedLines: Buffer[] = [];
+    private bufferedBytes = 0;
+    private droppedLines = 0;
     private isWriting = false;
     private timer: NodeJS.Timeout | undefined;
 
@@ -96,42 +100,43 @@
         super({ decodeStrings: true });
     }
 
-    static create(descriptor: number): GatheringOutput {
-        return new GatheringOutput(descriptor);
+    static create(descriptor: number): BufferedOutput {
+        return new BufferedOutput(descriptor);
     }
 
     override _write(chunk: Buffer, _encoding: BufferEncoding, callback: () => void): void {
         callback();
-        if (this.bytes + chunk.length > waitingBytes) {
-            this.leftOut += 1;
+        if (this.bufferedBytes + chunk.length > maximumBufferedBytes) {
+            this.droppedLines += 1;
             return;
         }
-        this.lines.push(chunk);
-        this.bytes += chunk.length;
-        this.timer ??= setTimeout(() => void this.flush(), gatherMilliseconds).unref();
+        this.bufferedLines.push(chunk);
+        this.bufferedBytes += chunk.length;
+        this.timer ??= setTimeout(() => void this.flush(), flushDelayMilliseconds).unref();
     }
 
     async flush(): Promise<void> {
         clearTimeout(this.timer);
         this.timer = undefined;
-        if (this.isWriting || this.lines.length === 0) {
+        if (this.isWriting || this.bufferedLines.length === 0) {
             return;
         }
         this.isWriting = true;
-        if (this.leftOut > 0) {
-            this.lines.push(Buffer.from(`${JSON.stringify({ message: "output is slow", linesLeftOut: this.leftOut })}\n`));
-            this.leftOut = 0;
+        if (this.droppedLines > 0) {
+            this.bufferedLines.push(Buffer.from(`${JSON.stringify({ message: "output is slow", linesLeftOut: this.droppedLines })}\n`));
+            this.droppedLines = 0;
         }
-        const bytes = Buffer.concat(this.lines);
-        this.lines = [];
-        this.bytes = 0;
+        const bytes = Buffer.concat(this.bufferedLines);
+        this.bufferedLines = [];
+        this.bufferedBytes = 0;
         await this.writeAll(bytes);
         this.isWriting = false;
-        if (this.lines.length > 0) {
-            this.timer ??= setTimeout(() => void this.flush(), gatherMilliseconds).unref();
+        if (this.bufferedLines.length > 0) {
+            this.timer ??= setTimeout(() => void this.flush(), flushDelayMilliseconds).unref();
         }
     }
 
+    /** Writes all bytes, or stops without an error when the output fails. */
     private async writeAll(bytes: Buffer): Promise<void> {
         let offset = 0;
         while (offset < bytes.length) {
@@ -143,7 +148,7 @@
         }
     }
 
-    /** Returns the bytes written; 0 when the output is closed, and then the lines have nowhere to go. */
+    /** Writes once and returns the number of bytes written; 0 when the write fails, as on a closed output, and the lines are lost. */
     private writeOnce(bytes: Buffer, offset: number): Promise<number> {
         return new Promise(resolve => {
             write(this.descriptor, bytes, offset, bytes.length - offset, undefined, (error, written) => {
--- a/src/common/failure.ts
+++ b/src/common/failure.ts
@@ -1,36 +1,38 @@
 import { DiagnosticMessage, formatMessage } from "./diagnostics.js";
 import { Verdict } from "./verdict.js";
 
-/** Why a request, or one attempt at it, did not succeed, and whether it may have run. */
+/** Failure of a request or of one attempt: its diagnostic, and the verdict whether the request may have run. Immutable. */
 export class Failure {
     private constructor(
         readonly verdict: Verdict,
         readonly message: DiagnosticMessage,
         readonly text: string,
+        /** Time after which the caller should retry, perhaps with a fraction; undefined when none is recommended. */
         readonly retryAfterSeconds: number | undefined,
     ) {}
 
+    /** Creates a failure whose text is the message with the values filled in. */
     static create(verdict: Verdict, message: DiagnosticMessage, ...values: (string | number)[]): Failure {
         return new Failure(verdict, message, formatMessage(message, ...values), undefined);
     }
 
-    /** Creates a failure from text that another node has already formatted. */
+    /** Creates a failure from text that is already formatted, such as that received from another node. */
     static createFormatted(verdict: Verdict, message: DiagnosticMessage, text: string, retryAfterSeconds?: number): Failure {
         return new Failure(verdict, message, text, retryAfterSeconds);
     }
 
-    /** Returns the same failure with the time after which a caller should try again, in seconds, perhaps a fraction. */
+    /** Returns a copy with the time after which the caller should retry, in seconds, perhaps with a fraction. */
     setRetryAfter(seconds: number): Failure {
         return new Failure(this.verdict, this.message, this.text, seconds);
     }
 
-    /** Returns the same failure with another verdict. */
+    /** Returns a copy with another verdict. */
     setVerdict(verdict: Verdict): Failure {
         return new Failure(verdict, this.message, this.text, this.retryAfterSeconds);
     }
 }
 
-/** Returns the text of anything that was thrown. */
+/** Returns the message of a thrown value, which need not be an Error. */
 export function describeError(error: unknown): string {
     if (error instanceof Error) {
         return error.message;
@@ -38,7 +40,7 @@
     return String(error);
 }
 
-/** Returns the system error code of anything that was thrown, or an empty text. */
+/** Returns the system error code of a thrown value, such as ECONNREFUSED, or an empty string when it has none. */
 export function readErrorCode(error: unknown): string {
     if (error instanceof Error && "code" in error && typeof error.code === "string") {
         return error.code;
@@ -46,9 +48,9 @@
     return "";
 }
 
-const neverConnectedCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH"]);
+const connectFailureCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH"]);
 
-/** Whether an error proves that no connection was established, so that nothing was sent. */
+/** Returns whether an error proves that no connection was established, so that nothing was sent. */
 export function hasNeverConnected(error: unknown): boolean {
-    return neverConnectedCodes.has(readErrorCode(error));
+    return connectFailureCodes.has(readErrorCode(error));
 }
--- a/src/common/hashing.ts
+++ b/src/common/hashing.ts
@@ -5,17 +5,17 @@
     return createHash("sha256").update(content).digest("hex");
 }
 
-/** Returns the first 4 bytes of a text's SHA-256 hash as a number. */
+/** Returns the first 4 bytes of a text's SHA-256 hash as an unsigned big-endian integer. */
 export function hashToNumber(text: string): number {
     return createHash("sha256").update(text).digest().readUInt32BE(0);
 }
 
-/** Returns the fingerprint of a call: its claim and its quarantine go by it, on whichever node it is computed. */
+/** Returns the fingerprint of a call, which identifies it in claims and in the quarantine; every node computes the same one. */
 export function hashCall(service: string, method: string, path: string, body: Uint8Array): string {
     return hashSha256(Buffer.concat([Buffer.from(`${service}\n${method}\n${path}\n`), body]));
 }
 
-/** Compares two hexadecimal hashes in constant time. */
+/** Returns whether two hexadecimal hashes are equal; the comparison takes constant time for hashes of equal length. */
 export function compareHashes(left: string, right: string): boolean {
     const leftBytes = Buffer.from(left, "utf8");
     const rightBytes = Buffer.from(right, "utf8");
@@ -25,7 +25,7 @@
     return timingSafeEqual(leftBytes, rightBytes);
 }
 
-/** Orders candidates for a key by rendezvous hashing, the best first. */
+/** Returns the candidates for a key in the order of rendezvous hashing, highest score first. */
 export function selectByRendezvous<T>(key: string, candidates: readonly T[], getName: (candidate: T) => string): T[] {
     const scored = candidates.map(candidate => ({ candidate, score: hashSha256(`${key}\n${getName(candidate)}`) }));
     scored.sort((left, right) => (left.score < right.score ? 1 : -1));
--- a/src/common/json.ts
+++ b/src/common/json.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Parses JSON that comes from outside; undefined when it is none, which every schema refuses. */
+/** Parses external JSON; returns undefined when the text is not valid JSON, and the schemas reject undefined. */
 export function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
@@ -10,7 +10,7 @@
     }
 }
 
-/** Returns every fault that a schema found, each with its place. */
+/** Returns every validation issue that a schema reported, each as "path: message". */
 export function listIssues(error: z.ZodError): string[] {
     return error.issues.map(issue => `${issue.path.join(".")}: ${issue.message}`);
 }
--- a/src/common/listening.ts
+++ b/src/common/listening.ts
@@ -1,6 +1,6 @@
 import { AddressInfo, Server } from "node:net";
 
-/** Starts a server on an address; returns the one it got, whose port is a free one when 0 was asked for. */
+/** Starts a server and returns the bound address; port 0 binds to a free port. Rejects when the address cannot be bound. */
 export async function startListening(
     server: Server,
     address: { readonly host: string; readonly port: number; },
--- a/src/common/logging.ts
+++ b/src/common/logging.ts
@@ -2,7 +2,7 @@
 
 export type { Logger } from "winston";
 
-/** Creates a logger that writes one JSON object a line to standard error. */
+/** Creates a logger that writes one JSON object per line to standard error. */
 export function createJsonLogger(level: string, node: string): Logger {
     return createLogger({
         level,
@@ -12,7 +12,7 @@
     });
 }
 
-/** Creates a logger that writes nothing. */
+/** Creates a logger that discards every line. */
 export function createSilentLogger(): Logger {
     return createLogger({ silent: true, transports: [new transports.Console()] });
 }
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -1,8 +1,9 @@
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from "prom-client";
 
+/** Upper bounds of the latency histograms' buckets. */
 const latencyBucketsSeconds = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.1, 2.5, 5, 10, 30, 60];
 
-/** Every metric of a node. Each node has its own registry, so that one process can hold several nodes. */
+/** Prometheus metrics of a node. Each node has its own registry, because one process may run several nodes. */
 export class Metrics {
     readonly requests: Counter<"service" | "team" | "outcome" | "verdict">;
     readonly attempts: Counter<"service" | "outcome">;
@@ -76,7 +77,7 @@
         return new Metrics(new Registry());
     }
 
-    /** Adds the metrics of the process itself; done once a process. */
+    /** Adds the default metrics of the Node.js process; call it at most once per process. */
     addProcessMetrics(): void {
         collectDefaultMetrics({ register: this.registry });
     }
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -2,15 +2,15 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Draws random numbers; injected so that a seed fixes a run. */
+/** Source of random numbers; injected so that a run can be reproduced from its seed. */
 export interface RandomSource {
     /** Returns a number in [0, 1). */
     pickFraction(): number;
-    /** Returns a whole number in [0, bound). */
+    /** Returns an integer in [0, bound). */
     pickIndex(bound: number): number;
 }
 
-/** A random source whose sequence is fixed by its seed. */
+/** Pseudorandom source whose sequence is determined by its seed. */
 export class SeededRandom implements RandomSource {
     private constructor(private readonly generator: ReturnType<typeof xoroshiro128plus>) {}
 
--- a/src/common/results.ts
+++ b/src/common/results.ts
@@ -1,4 +1,4 @@
-// Re-exports the result type under ES modules, since the library ships CommonJS only.
+// Re-exports ts-results for ES modules, because the library ships only CommonJS.
 import tsResults from "ts-results";
 
 export const { Ok, Err } = tsResults;
--- a/src/common/stopSignal.ts
+++ b/src/common/stopSignal.ts
@@ -1,4 +1,4 @@
-/** Resolves when the process is told to stop, by SIGTERM or SIGINT. */
+/** Resolves when the process receives SIGTERM or SIGINT. */
 export function waitForStopSignal(): Promise<void> {
     return new Promise(resolve => {
         process.once("SIGTERM", () => resolve());
--- a/src/common/tracing.ts
+++ b/src/common/tracing.ts
@@ -25,13 +25,13 @@
 
 export type { Span } from "@opentelemetry/api";
 
-/** Headers that carry the trace context of a hop. */
+/** W3C Trace Context headers, which carry the trace context from one hop to the next. */
 export interface TraceHeaders {
     traceparent?: string;
     tracestate?: string;
 }
 
-/** Returns the trace context that a request carries. */
+/** Returns the trace context headers of a received request. */
 export function readTraceHeaders(received: IncomingHttpHeaders): TraceHeaders {
     const headers: TraceHeaders = {};
     const { traceparent, tracestate } = received;
@@ -44,18 +44,19 @@
     return headers;
 }
 
-/** How spans are sampled and where they are sent. */
+/** Sampling and export of spans. */
 export interface TracingOptions {
+    /** Name of the node, used in the name of the tracer. */
     readonly node: string;
-    /** Share of the traces without a sampled parent that is recorded, from 0 to 1. */
+    /** Fraction of the traces started by this node that are recorded, from 0 to 1; a parent's sampling decision takes precedence. */
     readonly sampleRatio: number;
-    /** URL of an OTLP collector, or undefined to send spans nowhere. */
+    /** URL of an OTLP collector; when undefined, spans are not exported. */
     readonly collectorUrl?: string;
-    /** An exporter used in place of the collector, for tests. */
+    /** Exporter used instead of the collector, for tests. */
     readonly exporter?: SpanExporter;
 }
 
-/** Creates spans, one for each hop, and carries their context in headers. */
+/** Creates a span for each hop and propagates its context in headers, so that a trace spans several processes. */
 export class Tracing {
     private readonly propagator = new W3CTraceContextPropagator();
 
@@ -70,35 +71,35 @@
         return new Tracing(provider, provider.getTracer(`corianderward/${options.node}`));
     }
 
-    /** Starts the span of a hop whose parent, if any, is named by the headers. */
+    /** Starts a server span whose parent is the span in the headers; without one it starts a new trace. */
     startSpanFromHeaders(name: string, headers: TraceHeaders): Span {
         const parent = this.propagator.extract(context.active(), headers, defaultTextMapGetter) as Context;
         return this.tracer.startSpan(name, { kind: SpanKind.SERVER }, parent);
     }
 
-    /** Starts a span below another. */
+    /** Starts a client span as a child of another span. */
     startChildSpan(name: string, parent: Span): Span {
         return this.tracer.startSpan(name, { kind: SpanKind.CLIENT }, trace.setSpan(context.active(), parent));
     }
 
-    /** Returns the headers that carry a span's context to the next hop. */
+    /** Returns the headers that propagate a span's context to the next hop. */
     createHeaders(span: Span): TraceHeaders {
         const headers: TraceHeaders = {};
         this.propagator.inject(trace.setSpan(context.active(), span), headers, defaultTextMapSetter);
         return headers;
     }
 
-    /** Marks a span as failed with a text. */
+    /** Sets a span's status to error, with a message. */
     recordFailure(span: Span, text: string): void {
         span.setStatus({ code: SpanStatusCode.ERROR, message: text });
     }
 
-    /** Sends the spans that have ended. */
+    /** Exports the spans that have ended. */
     async flush(): Promise<void> {
         await this.provider.forceFlush();
     }
 
-    /** Sends what is left and stops. */
+    /** Exports the remaining spans and shuts tracing down. */
     async stop(): Promise<void> {
         await this.provider.shutdown();
     }
