--- a/src/control/moves/moveKeeper.ts
+++ b/src/control/moves/moveKeeper.ts
@@ -48,7 +48,7 @@
     readonly judge: VersionJudge;
 }
 
-/** Is notified when a move has been completed or rolled back. */
+/** Receives a notification when a move has been completed or rolled back. */
 export interface MoveListener {
     handleMoveEnd(record: MoveRecord): void;
 }
@@ -324,7 +324,7 @@
     private applyGrant(move: TrackedMove, grant: ActiveGrant): void {
         const current = move.grant;
         const isNewer = current === undefined || grant.sequence > current.sequence;
-        // A relayed copy of the same grant ignores the relay's delay and would expire later, so the first copy is kept.
+        // The term of a relayed copy does not include the relay's delay, so the copy would expire too late; the first copy is kept.
         if (isNewer) {
             move.grant = grant;
             this.metrics.moveShare.set({ service: move.record.service }, this.getShare(move));
@@ -343,7 +343,10 @@
         }
     }
 
-    /** Starts or extends the shadow period when the evidence has increased; it lasts, since a version may fail on part of the requests only. */
+    /**
+     * Starts or extends the shadow period when the evidence has increased. The period continues while the evidence stays the
+     * same, since a version may fail on part of the requests only.
+     */
     private updateShadowPeriod(move: TrackedMove, evidenceBefore: number): void {
         const evidence = move.judge.getEvidence();
         if (evidence < shadowEvidenceThreshold || evidence <= evidenceBefore) {
@@ -392,6 +395,7 @@
         return baseline;
     }
 
+    /** Adds the token times of an attempt at the old or only version to the service's baseline, with which a new version is compared. */
     private recordBaseline(observation: VersionObservation): void {
         const baseline = this.getOrCreateBaseline(observation.service);
         if (observation.firstToken !== undefined) {
--- a/src/control/moves/sequentialTest.ts
+++ b/src/control/moves/sequentialTest.ts
@@ -22,7 +22,7 @@
     readonly badRateMargin: number;
 }
 
-/** Upper limit of the baseline rate; above it a bad version can't be told from a sound one. */
+/** Upper limit of the baseline rate; above it a bad version cannot be distinguished from a good one. */
 const maximumBaselineRate = 0.6;
 const maximumBadRate = 0.95;
 /** Weight of the minimum baseline rate against the observed rate, in trials. */
--- a/src/duties/dutyLease.ts
+++ b/src/duties/dutyLease.ts
@@ -10,8 +10,8 @@
 const leaseName = "leases/duties";
 
 /**
- * Time after its start, in milliseconds, during which a node leaves the lease to nodes that started earlier: it has not
- * received the usage counted before its start.
+ * Time after its start, in milliseconds, during which a node leaves the lease to nodes that started earlier by more than this
+ * time: the new node has not received the usage counted before its start.
  */
 const recentStartMilliseconds = 15_000;
 
@@ -93,12 +93,12 @@
         }
     }
 
-    /** Returns whether this node must not try to acquire the lease: the holder is reachable or an older node should take it. */
+    /** Returns whether this node must not try to acquire the lease: the holder is reachable or an older node should acquire it. */
     isHolderHeard(): boolean {
         return this.isKnownHolderReachable() || this.hasOlderCandidate();
     }
 
-    /** Returns whether this node was recently started and a reachable older node could acquire the lease. */
+    /** Returns whether this node started recently and a reachable node that started well before it can acquire the lease. */
     private hasOlderCandidate(): boolean {
         if (this.clock.getWallTime() - this.candidate.incarnation > recentStartMilliseconds) {
             return false;
--- a/src/fleet/endpointDirectory.ts
+++ b/src/fleet/endpointDirectory.ts
@@ -21,7 +21,7 @@
     readonly source: string;
 }
 
-/** Called after the directory changed. */
+/** Function that is called after each change of the directory. */
 export type DirectoryListener = (change: DirectoryChange) => void;
 
 /** An entry with the store revision at which it was written. */
--- a/src/gateway/endpointExchange.ts
+++ b/src/gateway/endpointExchange.ts
@@ -11,7 +11,7 @@
 import { IncomingCall } from "./types.js";
 
 const statusMisdirected = 421;
-/** Statuses that tell a caller that its request has not run. An endpoint's response with one counts only with the not-run header. */
+/** Statuses of requests that have not run. In an endpoint's response they have this meaning only together with the not-run header. */
 const notRunStatuses = new Set([408, 421, 429, 503]);
 const statusOk = 200;
 const statusRedirect = 300;
--- a/src/gateway/forwarding.test.ts
+++ b/src/gateway/forwarding.test.ts
@@ -248,7 +248,7 @@
     await waitUntil(() => gateway.node.container.get(directoryKey).findEndpoint(crashed.id)?.entry.incarnation === crashed.born);
 }
 
-test("refuses a poison request after it has crashed three endpoints, and still serves other requests", async () => {
+test("refuses a request that crashed three endpoints, before it crashes another one, and still serves other requests", async () => {
     const sendPoisonRequest = () => gateway.sendCall("/voucher/killer", { method: "POST", body: "boom" });
     for (let crash = 0; crash < 3; crash += 1) {
         await killRunningWorker(sendPoisonRequest);
--- a/src/gossip/gatewayContent.ts
+++ b/src/gossip/gatewayContent.ts
@@ -266,14 +266,18 @@
         return peer !== undefined && peer.name === this.getLeaseHolder() && this.dependencies.plan.isRelaying();
     }
 
+    /**
+     * Returns the usage counts to send: those of this node, with an empty source, and received counts of other nodes. Without
+     * relays these are the counts of incarnations that are not reachable, since the reachable ones send their own.
+     */
     private listUsage(peer: GatewayPeer | undefined) {
         const { clock, usage, usageLedger, table } = this.dependencies;
         const current = usage.getWindow(clock.getWallTime());
         const reachableIncarnations = new Set([...table.listHeard(), table.identity].map(describeLife));
-        // In a fleet with relays, only the holder of the duty lease needs other nodes' counts, and only for windows that have ended.
+        // With relays, only the holder of the duty lease needs other nodes' counts, and only for windows that have ended.
         const hasRelays = this.dependencies.plan.hasRelays();
-        const reportsAllSources = hasRelays && this.isRelayToLeaseHolder(peer);
-        const isIncluded = (source: string) => hasRelays ? reportsAllSources : !reachableIncarnations.has(source);
+        const sendsAllSources = hasRelays && this.isRelayToLeaseHolder(peer);
+        const isIncluded = (source: string) => hasRelays ? sendsAllSources : !reachableIncarnations.has(source);
         const windows: { window: bigint; source: string; teams: { team: string; requests: number; }[]; }[] = [];
         for (let window = current - reportedWindowCount + 1; window <= current; window += 1) {
             windows.push({ window: BigInt(window), source: "", teams: usage.listUsage(window) });
--- a/src/peers/exchangeLoop.ts
+++ b/src/peers/exchangeLoop.ts
@@ -59,11 +59,11 @@
     async sendUrgentDigest(): Promise<void> {
         const domainPeers = this.directory.listLiveDomainMembers().slice(0, urgentPartnerLimit);
         const otherDomainPeers = this.directory.listOtherDomains().flatMap(name => this.listReachableMembers(name).slice(0, 1));
-        const sent = Promise.allSettled([...domainPeers, ...otherDomainPeers].map(member => this.exchangeWith(member)));
-        await Promise.race([sent, this.clock.sleep(urgentWaitMilliseconds, this.stopping.signal)]);
+        const exchanges = Promise.allSettled([...domainPeers, ...otherDomainPeers].map(member => this.exchangeWith(member)));
+        await Promise.race([exchanges, this.clock.sleep(urgentWaitMilliseconds, this.stopping.signal)]);
     }
 
-    /** Exchanges digests with one member; returns false when the exchange failed. */
+    /** Exchanges digests with one member and sends on an urgent change; returns false when the exchange failed or the loop was stopped. */
     async exchangeWith(member: Member): Promise<boolean> {
         const response = await this.link.exchangeDigests(member.address, this.digests.createDigest());
         if (response.err || this.stopping.signal.aborted) {
--- a/src/peers/peerSessions.ts
+++ b/src/peers/peerSessions.ts
@@ -27,7 +27,7 @@
     readonly sessions: Http2SessionManager;
 }
 
-/** Is notified of unresponsive peers and session errors; writes metrics. */
+/** Counts unresponsive peers and session errors in the metrics. */
 export interface SessionObserver {
     recordSilence(): void;
     recordSessionError(): void;
@@ -60,7 +60,7 @@
         catch (error) {
             const connectError = ConnectError.from(error);
             if (connectError.code === Code.DeadlineExceeded || connectError.code === Code.Unavailable) {
-                // The connection may never deliver anything again without being closed.
+                // A broken connection may stay open although nothing arrives on it any more, so it is not reused.
                 this.observer.recordSilence();
                 peer.sessions.abort();
                 this.peers.delete(formatAddress(address));
--- a/src/quotas/sharedRateLimiter.ts
+++ b/src/quotas/sharedRateLimiter.ts
@@ -122,7 +122,7 @@
         return undefined;
     }
 
-    /** Estimates the units that all nodes admitted in the window; a node without a recent count is assumed to have used its whole part. */
+    /** Estimates the units that all nodes admitted in the window; a node without a recent count is assumed to have admitted its whole part. */
     private estimatePassed(bucket: RateBucket, now: number): number {
         const nodePart = bucket.allowed / this.nodeCount;
         let passed = this.countLocalPassed(bucket, now);
@@ -138,7 +138,7 @@
         return passed + Math.max(0, this.nodeCount - 1 - reportedNodes) * nodePart;
     }
 
-    /** Counts the units that this node admitted; for the time before its start its whole part of the limit is assumed used. */
+    /** Counts the units that this node admitted; for the time before its start, its whole part of the limit is counted as admitted. */
     private countLocalPassed(bucket: RateBucket, now: number): number {
         const unknownShare = Math.max(0, 1 - (now - this.createdAt) / this.options.window);
         return this.countRecordedAdmissions(bucket, now) + unknownShare * bucket.allowed / this.nodeCount;
--- a/src/requests/commands/attemptRun.ts
+++ b/src/requests/commands/attemptRun.ts
@@ -129,6 +129,7 @@
         return this.getMeanTokenInterval() ?? tokenIntervalTargetMilliseconds;
     }
 
+    /** Prepares the move to another endpoint: exports the KV cache, then aborts the attempt. Later calls have no effect. */
     startMove(): void {
         if (this.exportedCache !== undefined) {
             return;
--- a/src/requests/commands/loadObserver.ts
+++ b/src/requests/commands/loadObserver.ts
@@ -25,7 +25,7 @@
         private readonly intervalMilliseconds: number,
     ) {}
 
-    /** Creates an observer that polls once per interval. */
+    /** The interval between two polls of an endpoint's load is in milliseconds. */
     static create(
         client: ModelEndpointClient,
         registry: EndpointRegistry,
--- a/src/requests/commands/requestRun.ts
+++ b/src/requests/commands/requestRun.ts
@@ -176,6 +176,7 @@
         return query;
     }
 
+    /** Acquires the slot of the next attempt, and the suspect lock if an endpoint crashed while it ran the same request. */
     private async acquirePlacement(): Promise<Result<Placement, Failure>> {
         const { dependencies, record } = this;
         if (!dependencies.ledger.isSuspect(record.request.fingerprint)) {
@@ -214,12 +215,13 @@
         }
     }
 
+    /** Waits for an endpoint slot. Continuations and asynchronous requests may wait until the deadline, others up to the service's limit. */
     private async acquireSlot(pinnedEndpoint: string | undefined): Promise<Result<EndpointEntry, Failure>> {
         const { dependencies, record, service } = this;
         const { request } = record;
-        const remaining = request.deadline - dependencies.clock.getWallTime();
+        const timeToDeadline = request.deadline - dependencies.clock.getWallTime();
         const now = dependencies.clock.getMonotonicTime();
-        const queueTime = this.isContinuation || request.isAsync ? remaining : Math.min(service.queueTimeLimit, remaining);
+        const queueTime = this.isContinuation || request.isAsync ? timeToDeadline : Math.min(service.queueTimeLimit, timeToDeadline);
         return dependencies.admission.acquireSlot({
             requestId: request.id,
             service: service.name,
