--- a/src/gateway/callAttempt.ts
+++ b/src/gateway/callAttempt.ts
@@ -175,6 +175,7 @@
         const { dependencies, options } = this;
         const now = dependencies.clock.getMonotonicTime();
         if (this.isPastDeadline && this.firstEventAt === undefined) {
+            // A missed deadline is evidence of a slow version, not of a failure.
             this.recordVersionAttempt(true, this.computeTimeRatio(now));
         }
         const { code } = failure.message;
--- a/src/placement/enginePlacement.ts
+++ b/src/placement/enginePlacement.ts
@@ -86,7 +86,7 @@
             cost += settings.domainPenalty;
         }
         if (prompt !== undefined) {
-            cost += settings.homePenalty * this.computeHomeDistance(endpoint.entry.id, prompt);
+            cost += settings.homePenalty * this.computeHomeScore(endpoint.entry.id, prompt);
         }
         if (endpoint.isUnhealthy()) {
             cost += unhealthyPenaltyMilliseconds;
@@ -95,10 +95,10 @@
     }
 
     /**
-     * Returns the hash of a prompt's longest shared part and an endpoint, from 0 to 1; the endpoint with the lowest one is the
-     * part's home. All nodes compute the same value.
+     * Returns the home score, a hash of a prompt's longest shared part and an endpoint, from 0 to 1. The endpoint with the lowest
+     * score is the part's home. All nodes compute the same value.
      */
-    private computeHomeDistance(endpointId: string, prompt: PromptShape): number {
+    private computeHomeScore(endpointId: string, prompt: PromptShape): number {
         const part = findSharedPart(prompt.parts);
         if (part === undefined) {
             return 0;
@@ -117,7 +117,7 @@
     }
 }
 
-/** Cached home scores: enough for several days' prompts at every endpoint of a large fleet. */
+/** Upper limit of cached home scores: enough for several days' prompts at every endpoint of a large fleet. */
 const maximumCachedHomeScores = 100_000;
 
 /** Returns the last prompt part that other requests may share; the final part belongs to this request alone. */
--- a/src/quotas/sharedRateLimiter.ts
+++ b/src/quotas/sharedRateLimiter.ts
@@ -111,7 +111,7 @@
         bucket.refilledAt = now;
         const allowedWithoutSlack = limit.rate * this.options.window / millisecondsPerSecond + limit.burst;
         bucket.allowed = allowedWithoutSlack + this.options.slack * admittedSlackShare;
-        const passed = this.estimatePassed(bucket, now);
+        const passed = this.estimateAdmitted(bucket, now);
         const isFarBelowLimit = passed + units <= bucket.allowed * unconditionalShareOfLimit;
         const isWithinShare = bucket.available >= units && passed + units <= Math.max(units, bucket.allowed);
         if (!isFarBelowLimit && !isWithinShare) {
@@ -123,9 +123,9 @@
     }
 
     /** Estimates the units that all nodes admitted in the window; a node without a recent count is assumed to have admitted its whole part. */
-    private estimatePassed(bucket: RateBucket, now: number): number {
+    private estimateAdmitted(bucket: RateBucket, now: number): number {
         const nodePart = bucket.allowed / this.nodeCount;
-        let passed = this.countLocalPassed(bucket, now);
+        let passed = this.countLocalAdmitted(bucket, now);
         let reportedNodes = 0;
         for (const other of bucket.peerDemands.values()) {
             const age = now - other.at;
@@ -139,7 +139,7 @@
     }
 
     /** Counts the units that this node admitted; for the time before its start, its whole part of the limit is counted as admitted. */
-    private countLocalPassed(bucket: RateBucket, now: number): number {
+    private countLocalAdmitted(bucket: RateBucket, now: number): number {
         const unknownShare = Math.max(0, 1 - (now - this.createdAt) / this.options.window);
         return this.countRecordedAdmissions(bucket, now) + unknownShare * bucket.allowed / this.nodeCount;
     }
@@ -188,7 +188,7 @@
         return [...this.buckets].map(([name, bucket]) => ({
             name,
             demand: computeDemand(bucket, now),
-            passed: this.countLocalPassed(bucket, now),
+            passed: this.countLocalAdmitted(bucket, now),
             nodes: 1,
         }));
     }
