--- a/src/callers/callerServer.ts
+++ b/src/callers/callerServer.ts
@@ -85,7 +85,7 @@
 }
 
 function checkOpenRequests(dependencies: CallerDependencies, response: Response, next: NextFunction): void {
-    if (dependencies.table.countActive() >= dependencies.limits.openRequests) {
+    if (dependencies.requestTable.countActive() >= dependencies.limits.openRequests) {
         const failure = Failure.create(Verdict.NotRun, Diagnostics.Queue_of_service_0_is_full, "*");
         sendProblem(response, failure.setRetryAfter(1), createIdentifier());
         return;
--- a/src/callers/commands/serveCall.ts
+++ b/src/callers/commands/serveCall.ts
@@ -69,7 +69,7 @@
     text: string,
 ): void {
     dependencies.metrics.requests.inc({ service: call.service, team: call.team, outcome, verdict: history.verdict });
-    dependencies.table.addExplanation({
+    dependencies.requestTable.addExplanation({
         id: call.id,
         team: call.team,
         service: call.service,
--- a/src/callers/queries/serveRequestById.ts
+++ b/src/callers/queries/serveRequestById.ts
@@ -45,7 +45,7 @@
 }
 
 async function findRecord(dependencies: CallerDependencies, requestId: string, request: Request): Promise<RequestRecord | undefined> {
-    const local = dependencies.table.findRecord(requestId);
+    const local = dependencies.requestTable.findRecord(requestId);
     if (local !== undefined && local.getEnd()?.outcome !== RequestOutcome.HandedOver) {
         return local;
     }
@@ -53,7 +53,7 @@
     if (draft.ok && draft.val !== undefined && draft.val.state !== DraftState.Pending) {
         return createEndedRecord(dependencies, draft.val, request);
     }
-    const remote = await dependencies.remote.followRequest(requestId, 0);
+    const remote = await dependencies.remoteRequests.followRequest(requestId, 0);
     if (remote !== undefined) {
         return remote;
     }
--- a/src/callers/types.ts
+++ b/src/callers/types.ts
@@ -30,9 +30,9 @@
     readonly limits: LimitSettings;
     readonly limiter: TeamLimiter;
     readonly service: RequestService;
-    readonly table: RequestTable;
+    readonly requestTable: RequestTable;
     readonly drafts: DraftStore;
     readonly plainCalls: PlainCallRunner;
-    readonly remote: RemoteRequests;
+    readonly remoteRequests: RemoteRequests;
     readonly gate: AcceptanceGate;
 }
--- a/src/cli/commands/keys.ts
+++ b/src/cli/commands/keys.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { createDiagnostic, Diagnostics } from "../../common/diagnostics.js";
 import { describeError } from "../../common/failure.js";
-import { checkCertificate, createAuthority, createNodeCertificate, KeyPairFiles } from "../../keys/certificates.js";
+import { CertificateKeyPair, checkCertificate, createAuthority, createNodeCertificate } from "../../keys/certificates.js";
 import { BaseCommand } from "../baseCommand.js";
 import { ExitCode } from "../exitCodes.js";
 
@@ -25,7 +25,13 @@
     }
 
     /** Writes a certificate and its key; refuses to replace files unless told to. */
-    protected writeFiles(directory: string, certificateName: string, keyName: string, files: KeyPairFiles, mayReplace: boolean): void {
+    protected writeFiles(
+        directory: string,
+        certificateName: string,
+        keyName: string,
+        files: CertificateKeyPair,
+        mayReplace: boolean,
+    ): void {
         mkdirSync(directory, { recursive: true });
         const certificateFile = join(directory, certificateName);
         if (!mayReplace && existsSync(certificateFile)) {
--- a/src/cli/commands/logs.ts
+++ b/src/cli/commands/logs.ts
@@ -3,14 +3,14 @@
 import { createDiagnostic, Diagnostics } from "../../common/diagnostics.js";
 import { describeError } from "../../common/failure.js";
 import { LogEvents } from "../../common/logEvents.js";
-import { computeSummary, findRequest, formatLogLine, readLogLines, ReadLogs } from "../../logs/logReader.js";
+import { computeSummary, findRequest, formatLogLine, ParsedLogs, readLogLines } from "../../logs/logReader.js";
 import { BaseCommand } from "../baseCommand.js";
 import { ExitCode } from "../exitCodes.js";
 
 const fileArgument = Args.string({ description: "file with log lines; more may follow", required: true });
 
 abstract class LogsCommand extends BaseCommand {
-    protected readFiles(files: readonly string[]): ReadLogs {
+    protected readFiles(files: readonly string[]): ParsedLogs {
         const texts = files.map(file => {
             try {
                 return readFileSync(file, "utf8");
--- a/src/common/failure.ts
+++ b/src/common/failure.ts
@@ -51,6 +51,6 @@
 const connectFailureCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH"]);
 
 /** Returns whether an error proves that no connection was established, so that nothing was sent. */
-export function hasNeverConnected(error: unknown): boolean {
+export function isConnectFailure(error: unknown): boolean {
     return connectFailureCodes.has(readErrorCode(error));
 }
--- a/src/common/hashing.ts
+++ b/src/common/hashing.ts
@@ -26,7 +26,7 @@
 }
 
 /** Returns the candidates for a key in the order of rendezvous hashing, highest score first. */
-export function selectByRendezvous<T>(key: string, candidates: readonly T[], getName: (candidate: T) => string): T[] {
+export function listByRendezvousRank<T>(key: string, candidates: readonly T[], getName: (candidate: T) => string): T[] {
     const scored = candidates.map(candidate => ({ candidate, score: hashSha256(`${key}\n${getName(candidate)}`) }));
     scored.sort((left, right) => (left.score < right.score ? 1 : -1));
     return scored.map(entry => entry.candidate);
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -20,7 +20,7 @@
     readonly claims: Counter<"service" | "outcome">;
     readonly adoptions: Counter<"outcome">;
     readonly handovers: Counter<"outcome">;
-    readonly lateAnswers: Counter<"service">;
+    readonly staleResponses: Counter<"service">;
     readonly configurationRevision: Gauge<"team">;
     readonly configurationRefused: Counter<"reason">;
     readonly platformCalls: Counter<"call" | "outcome">;
@@ -29,7 +29,7 @@
     readonly peerBytes: Counter<"direction">;
     readonly leaseHeld: Gauge<"lease">;
     readonly endpointState: Gauge<"endpoint" | "state">;
-    readonly silences: Counter<"hop">;
+    readonly silentConnections: Counter<"hop">;
     readonly moveShare: Gauge<"service">;
     readonly moves: Counter<"service" | "state">;
 
@@ -59,7 +59,9 @@
         this.claims = createCounter("claims_total", "Claims on idempotency keys by outcome.", ["service", "outcome"]);
         this.adoptions = createCounter("adoptions_total", "Requests adopted from other nodes.", ["outcome"]);
         this.handovers = createCounter("handovers_total", "Requests handed to other nodes at shutdown.", ["outcome"]);
-        this.lateAnswers = createCounter("late_answers_total", "Answers dropped because they belong to an earlier attempt.", ["service"]);
+        this.staleResponses = createCounter("late_answers_total", "Answers dropped because they belong to an earlier attempt.", [
+            "service",
+        ]);
         this.configurationRevision = createGauge("configuration_revision", "Revision in force.", ["team"]);
         this.configurationRefused = createCounter("configuration_refused_total", "Configuration objects refused.", ["reason"]);
         this.platformCalls = createCounter("platform_calls_total", "Calls to the platform.", ["call", "outcome"]);
@@ -68,7 +70,7 @@
         this.peerBytes = createCounter("peer_bytes_total", "Bytes of digests.", ["direction"]);
         this.leaseHeld = createGauge("lease_held", "1 while this node holds the lease.", ["lease"]);
         this.endpointState = createGauge("endpoint_state", "1 for the state that an endpoint is in.", ["endpoint", "state"]);
-        this.silences = createCounter("silent_connections_total", "Connections dropped because nothing arrived on them.", ["hop"]);
+        this.silentConnections = createCounter("silent_connections_total", "Connections dropped because nothing arrived on them.", ["hop"]);
         this.moveShare = createGauge("move_share", "Share of traffic that the new version may get.", ["service"]);
         this.moves = createCounter("moves_total", "Version moves by terminal state.", ["service", "state"]);
     }
--- a/src/config/routeFiles.test.ts
+++ b/src/config/routeFiles.test.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from "node:url";
 import { RoutePublisher } from "../cli/routePublisher.js";
 import { SeededRandom } from "../common/random.js";
-import { PlainConfigurationDecoder } from "../node/bindings/plainDeployment.js";
+import { DefaultConfigurationDecoder } from "../node/bindings/defaultDeployment.js";
 import { RouteKind, UsageUnit } from "../routes/types.js";
 import { MemoryObjects, MemoryObjectStore } from "../testing/memoryObjectStore.js";
 import { VirtualClock } from "../testing/virtualClock.js";
@@ -41,7 +41,7 @@
     assert.deepEqual(await publish(), { version: 1, changed: true });
     assert.deepEqual(await publish(), { version: 1, changed: false });
     const stored = (await finish(store.getObject("routes/main"))).unwrap();
-    const decoded = PlainConfigurationDecoder.create().decodeConfiguration(stored?.value);
+    const decoded = DefaultConfigurationDecoder.create().decodeConfiguration(stored?.value);
     assert.deepEqual(decoded.unwrap().routes, declaration.routes);
 });
 
--- a/src/control/commands/domainDuty.ts
+++ b/src/control/commands/domainDuty.ts
@@ -9,9 +9,9 @@
 import { Draft, DraftStore } from "../../requests/commands/draftStore.js";
 import { EndpointEntry, EndpointRegistry } from "../../requests/endpointRegistry.js";
 import { RequestService } from "../../requests/requestService.js";
-import { MoveKeeper } from "../moves/moveKeeper.js";
+import { MoveController } from "../moves/moveController.js";
 import { listDesiredModels } from "../queries/placement.js";
-import { LeaseKeeper } from "./leaseKeeper.js";
+import { LeaseManager } from "./leaseManager.js";
 import { OrderSender } from "./orderSender.js";
 
 const roundIntervalMilliseconds = 1_000;
@@ -27,13 +27,13 @@
 export interface DomainDutyDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
-    readonly lease: LeaseKeeper;
+    readonly lease: LeaseManager;
     readonly orders: OrderSender;
     readonly client: ModelEndpointClient;
     readonly store: ObjectStore;
     readonly weightStore: WeightStore | undefined;
     readonly configuration: ConfigurationSet;
-    readonly moves: MoveKeeper;
+    readonly moves: MoveController;
     readonly registry: EndpointRegistry;
     readonly directory: MemberDirectory;
     readonly drafts: DraftStore;
@@ -134,7 +134,7 @@
             return draft.incarnation === identity.incarnation;
         }
         const member = this.dependencies.directory.findMember(draft.owner);
-        return member !== undefined && this.dependencies.directory.isAlive(member) && member.incarnation === draft.incarnation;
+        return member !== undefined && this.dependencies.directory.isReachable(member) && member.incarnation === draft.incarnation;
     }
 
     /** Removes expired claims. Keys with a time older than the retention are refused, so a removed key can't run again. */
--- a/src/control/commands/hostListKeeper.ts
+++ b/src/control/commands/hostListSynchronizer.ts
@@ -5,22 +5,22 @@
 import { PeerSettings } from "../../config/types.js";
 import { EndpointDescription, EndpointEvidence } from "../../endpoints/types.js";
 import { MemberDirectory } from "../../peers/memberDirectory.js";
-import { Cloud } from "../../provider/cloud.js";
-import { HostList } from "../../provider/hostList.js";
+import { CloudClient } from "../../provider/cloudClient.js";
+import { HostListClient } from "../../provider/hostListClient.js";
 import { HostRole, hostSchema, ListedHost } from "../../provider/types.js";
 import { EndpointRegistry } from "../../requests/endpointRegistry.js";
 
 const hostsSchema = z.array(hostSchema);
 
 /** Keeps the node's endpoints and peers up to date with the platform's host list and the cloud's reclaim notices. */
-export class HostListKeeper {
+export class HostListSynchronizer {
     private readonly stopping = new AbortController();
     private hosts: ListedHost[] | undefined;
     private hasPlatformList = false;
 
     private constructor(
-        private readonly hostList: HostList,
-        private readonly cloud: Cloud | undefined,
+        private readonly hostList: HostListClient,
+        private readonly cloud: CloudClient | undefined,
         private readonly registry: EndpointRegistry,
         private readonly directory: MemberDirectory,
         private readonly settingsPeers: readonly PeerSettings[],
@@ -33,16 +33,16 @@
 
     /** The interval is in milliseconds. */
     static create(
-        hostList: HostList,
-        cloud: Cloud | undefined,
+        hostList: HostListClient,
+        cloud: CloudClient | undefined,
         registry: EndpointRegistry,
         directory: MemberDirectory,
         settingsPeers: readonly PeerSettings[],
         clock: Clock,
         logger: Logger,
         interval: number,
-    ): HostListKeeper {
-        return new HostListKeeper(hostList, cloud, registry, directory, settingsPeers, clock, logger, interval);
+    ): HostListSynchronizer {
+        return new HostListSynchronizer(hostList, cloud, registry, directory, settingsPeers, clock, logger, interval);
     }
 
     /** Runs until stop is called. */
@@ -118,7 +118,7 @@
         const listedNames = new Set([...this.settingsPeers.map(peer => peer.name), ...entryHosts.map(host => host.name)]);
         for (const member of directory.listMembers()) {
             // The host list lags behind: a node that is still reachable stays a member.
-            if (!listedNames.has(member.name) && !directory.isAlive(member)) {
+            if (!listedNames.has(member.name) && !directory.isReachable(member)) {
                 directory.removeMember(member.name);
             }
         }
--- a/src/control/commands/leaseKeeper.ts
+++ b/src/control/commands/leaseManager.ts
@@ -45,19 +45,19 @@
 
 /** Is notified when this node has acquired a lease; writes logs and metrics. */
 export interface LeaseObserver {
-    recordTaken(lease: string, fencing: number): void;
+    recordAcquisition(lease: string, fencing: number): void;
 }
 
 /** Monitors the current holder by other means than the store, such as gossip; while it is reachable, a candidate does not poll. */
-export interface HolderWatch {
-    isHolderHeard(): boolean;
+export interface LeaseHolderMonitor {
+    isHolderReachable(): boolean;
 }
 
 /**
  * Acquires and renews one lease, an object in the platform's store, by conditional updates. A candidate acquires a held lease only
  * after its revision has not changed for a term on the candidate's own monotonic clock, so clocks of nodes are never compared.
  */
-export class LeaseKeeper {
+export class LeaseManager {
     private readonly stopping = new AbortController();
     private validUntilMonotonicTime = -Infinity;
     /** Unix milliseconds; the wall clock advances while the host is suspended, the monotonic clock does not. */
@@ -74,7 +74,7 @@
         readonly name: string,
         private readonly term: number,
         private readonly observer: LeaseObserver,
-        private readonly holderMonitor: HolderWatch | undefined,
+        private readonly holderMonitor: LeaseHolderMonitor | undefined,
     ) {}
 
     /** The term is in milliseconds. */
@@ -85,15 +85,15 @@
         name: string,
         term: number,
         observer: LeaseObserver,
-        holderMonitor?: HolderWatch,
-    ): LeaseKeeper {
-        return new LeaseKeeper(store, clock, candidate, name, term, observer, holderMonitor);
+        holderMonitor?: LeaseHolderMonitor,
+    ): LeaseManager {
+        return new LeaseManager(store, clock, candidate, name, term, observer, holderMonitor);
     }
 
     /** Runs until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            if (this.getGrant() !== undefined || this.holderMonitor?.isHolderHeard() !== true) {
+            if (this.getGrant() !== undefined || this.holderMonitor?.isHolderReachable() !== true) {
                 await this.runRound();
             }
             // A candidate polls less often than a holder renews: it must wait for the end of the term anyway.
@@ -131,7 +131,7 @@
     }
 
     /** Returns the longest time, in milliseconds, for which the previous holder may still consider its lease valid after a change. */
-    getSuccessorWait(): number {
+    getPreviousHolderTimeout(): number {
         return this.term * (1 + clockDriftFraction);
     }
 
@@ -218,7 +218,7 @@
         this.validUntilWallTime = startedAt.wall + this.term * (1 - clockDriftFraction);
         if (isAcquisition) {
             this.acquiredAt = now;
-            this.observer.recordTaken(this.name, this.transitions);
+            this.observer.recordAcquisition(this.name, this.transitions);
         }
     }
 }
--- a/src/control/commands/orderSender.ts
+++ b/src/control/commands/orderSender.ts
@@ -5,7 +5,7 @@
 import { Verdict } from "../../common/verdict.js";
 import { ModelEndpointClient } from "../../endpoints/modelEndpoint.js";
 import { EndpointDescription } from "../../endpoints/types.js";
-import { LeaseKeeper } from "./leaseKeeper.js";
+import { LeaseManager } from "./leaseManager.js";
 
 /** Time limit of one order, and of reading back its result. */
 export const orderTimeLimitMilliseconds = 500;
@@ -14,14 +14,14 @@
 export class OrderSender {
     private constructor(
         private readonly client: ModelEndpointClient,
-        private readonly lease: LeaseKeeper,
+        private readonly lease: LeaseManager,
         private readonly clock: Clock,
         private readonly checksFencing: (group: string) => boolean,
     ) {}
 
     static create(
         client: ModelEndpointClient,
-        lease: LeaseKeeper,
+        lease: LeaseManager,
         clock: Clock,
         checksFencing: (group: string) => boolean,
     ): OrderSender {
@@ -35,7 +35,7 @@
             return false;
         }
         // Endpoints that don't check fencing numbers accept late orders: wait until every order of the previous holder has timed out.
-        return this.checksFencing(group) || grant.heldFor > this.lease.getSuccessorWait() + orderTimeLimitMilliseconds;
+        return this.checksFencing(group) || grant.heldFor > this.lease.getPreviousHolderTimeout() + orderTimeLimitMilliseconds;
     }
 
     /**
--- a/src/control/commands/quarantineKeeper.ts
+++ b/src/control/commands/quarantineReplicator.ts
@@ -10,15 +10,15 @@
 const quarantineSchema = z.object({ endpoints: z.array(z.string()), until: z.number() });
 
 /** Replicates quarantines through the platform's store, for failure domains whose nodes cannot reach each other. */
-export class QuarantineKeeper implements SharedObjectConsumer {
+export class QuarantineReplicator implements SharedObjectConsumer {
     readonly prefix = quarantinePrefix;
     private readonly stopping = new AbortController();
     private readonly storedEndpointCounts = new Map<string, number>();
 
     private constructor(private readonly store: ObjectStore, private readonly ledger: QuarantineLedger, private readonly clock: Clock) {}
 
-    static create(store: ObjectStore, ledger: QuarantineLedger, clock: Clock): QuarantineKeeper {
-        return new QuarantineKeeper(store, ledger, clock);
+    static create(store: ObjectStore, ledger: QuarantineLedger, clock: Clock): QuarantineReplicator {
+        return new QuarantineReplicator(store, ledger, clock);
     }
 
     applyObject(object: StoredObject): boolean {
--- a/src/control/commands/sharedObjectKeeper.ts
+++ b/src/control/commands/sharedObjectReplicator.ts
@@ -1,5 +1,5 @@
 import { Clock } from "../../common/clock.js";
-import { selectByRendezvous } from "../../common/hashing.js";
+import { listByRendezvousRank } from "../../common/hashing.js";
 import { Logger } from "../../common/logging.js";
 import { Metrics } from "../../common/metrics.js";
 import { sharedPrefix } from "../../config/objectNames.js";
@@ -8,7 +8,7 @@
 import { ObjectStore } from "../../provider/objectStore.js";
 import { StoredObject, WatchEventKind } from "../../provider/types.js";
 import { SharedObjectChange, SharedObjects } from "../sharedObjects.js";
-import { HostListKeeper } from "./hostListKeeper.js";
+import { HostListSynchronizer } from "./hostListSynchronizer.js";
 
 /** Nodes of a failure domain that watch the platform; the others fetch changes from them. */
 const watchersPerDomain = 2;
@@ -23,7 +23,7 @@
  * Replicates the shared objects to this node. A few watchers in each failure domain watch the platform; the other nodes fetch
  * objects from a peer whose digest differs, so the load on the platform does not grow with the fleet.
  */
-export class SharedObjectKeeper {
+export class SharedObjectReplicator {
     private readonly stopping = new AbortController();
     private readonly pendingFetches = new Set<string>();
     private readonly startedAt: number;
@@ -35,7 +35,7 @@
         private readonly objects: SharedObjects,
         private readonly directory: MemberDirectory,
         private readonly link: PeerLink,
-        private readonly hosts: HostListKeeper,
+        private readonly hosts: HostListSynchronizer,
         private readonly notifier: UrgentNotifier,
         private readonly clock: Clock,
         private readonly metrics: Metrics,
@@ -49,13 +49,13 @@
         objects: SharedObjects,
         directory: MemberDirectory,
         link: PeerLink,
-        hosts: HostListKeeper,
+        hosts: HostListSynchronizer,
         notifier: UrgentNotifier,
         clock: Clock,
         metrics: Metrics,
         logger: Logger,
-    ): SharedObjectKeeper {
-        return new SharedObjectKeeper(store, objects, directory, link, hosts, notifier, clock, metrics, logger);
+    ): SharedObjectReplicator {
+        return new SharedObjectReplicator(store, objects, directory, link, hosts, notifier, clock, metrics, logger);
     }
 
     /** Runs until stop is called. */
@@ -76,7 +76,7 @@
     }
 
     /** Returns the objects of which the peer has a lower revision or none, and the host list. */
-    createAnswer(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit {
+    createResponse(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit {
         const knownRevisions = new Map(known.map(entry => [entry.name, Number(entry.revision)]));
         const newer = this.objects.listObjects().filter(object => object.revision > (knownRevisions.get(object.name) ?? 0));
         return {
@@ -102,14 +102,14 @@
     /** Returns whether this node has to watch the platform itself. */
     isWatcher(): boolean {
         const { identity } = this.directory;
-        const peers = this.directory.listLiveDomainMembers();
+        const peers = this.directory.listReachableDomainMembers();
         const names = [identity.name, ...peers.map(member => member.name)];
-        const chosen = selectByRendezvous("configuration", names, name => name).slice(0, watchersPerDomain);
+        const chosen = listByRendezvousRank("configuration", names, name => name).slice(0, watchersPerDomain);
         if (chosen.includes(identity.name)) {
             return true;
         }
         // When none of the selected watchers reaches the platform, every node watches it itself.
-        const hasServingWatcher = peers.some(member => chosen.includes(member.name) && member.platformReachable);
+        const hasServingWatcher = peers.some(member => chosen.includes(member.name) && member.isPlatformReachable);
         return !hasServingWatcher && this.clock.getMonotonicTime() - this.startedAt > watcherFallbackMilliseconds;
     }
 
--- a/src/control/moves/moveKeeper.ts
+++ b/src/control/moves/moveController.ts
@@ -8,7 +8,7 @@
 import { NodeIdentity } from "../../peers/memberDirectory.js";
 import { NodeDigest, NodeDigestInit, ShareGrantInit, UrgentNotifier } from "../../peers/types.js";
 import { StoredObject } from "../../provider/types.js";
-import { ShadowPolicy } from "../../requests/commands/shadowRunner.js";
+import { ShadowPolicy } from "../../requests/commands/shadowRequestRunner.js";
 import { VersionObservation, VersionObserver, VersionPolicy } from "../../requests/types.js";
 import { SharedObjectConsumer } from "../sharedObjects.js";
 import { MoveEvidenceExchange } from "../types.js";
@@ -57,7 +57,7 @@
  * Controls the node's traffic in version moves: selects the version of each request by the granted share, collects evidence from
  * attempts, and stops the new version's traffic at once when the evidence reaches the rollback bound.
  */
-export class MoveKeeper implements SharedObjectConsumer, VersionPolicy, VersionObserver, ShadowPolicy, MoveEvidenceExchange {
+export class MoveController implements SharedObjectConsumer, VersionPolicy, VersionObserver, ShadowPolicy, MoveEvidenceExchange {
     readonly prefix = movePrefix;
     private readonly moves = new Map<string, TrackedMove>();
     private readonly baselines = new Map<string, LatencyBaseline>();
@@ -81,8 +81,8 @@
         metrics: Metrics,
         logger: Logger,
         testFactory: TestFactory = cumulativeSumFactory,
-    ): MoveKeeper {
-        return new MoveKeeper(identity, clock, random, notifier, metrics, logger, testFactory);
+    ): MoveController {
+        return new MoveController(identity, clock, random, notifier, metrics, logger, testFactory);
     }
 
     addListener(listener: MoveListener): void {
@@ -158,7 +158,7 @@
     }
 
     /** Returns why this node stopped the new version's traffic, or undefined. */
-    findTakeBack(serviceName: string): { readonly reason: MoveReason; readonly detail: string; } | undefined {
+    findRollback(serviceName: string): { readonly reason: MoveReason; readonly detail: string; } | undefined {
         return this.moves.get(serviceName)?.rollback;
     }
 
--- a/src/control/moves/moveDuty.ts
+++ b/src/control/moves/moveDuty.ts
@@ -8,10 +8,10 @@
 import { ObjectStore, writeObject } from "../../provider/objectStore.js";
 import { StoredObject } from "../../provider/types.js";
 import { EndpointRegistry } from "../../requests/endpointRegistry.js";
-import { LeaseKeeper } from "../commands/leaseKeeper.js";
+import { LeaseManager } from "../commands/leaseManager.js";
 import { SharedObjectChange, SharedObjects } from "../sharedObjects.js";
 import { clockDifferenceLimitMilliseconds, ClockMonitor } from "./clockMonitor.js";
-import { grantTermMilliseconds, MoveKeeper } from "./moveKeeper.js";
+import { grantTermMilliseconds, MoveController } from "./moveController.js";
 import { createEndedRecord, createShareStep, MoveReason, MoveRecord, MoveState, parseMoveRecord } from "./moveRecord.js";
 
 const roundIntervalMilliseconds = 500;
@@ -37,19 +37,19 @@
 const sequenceNumbersPerHolder = 1_000_000n;
 
 /** Dependencies of the move duty. */
-export interface MoveDutyParts {
+export interface MoveDutyDependencies {
     readonly store: ObjectStore;
     readonly objects: SharedObjects;
-    readonly keeper: MoveKeeper;
-    readonly lease: LeaseKeeper;
+    readonly keeper: MoveController;
+    readonly lease: LeaseManager;
     readonly configuration: ConfigurationSet;
     readonly registry: EndpointRegistry;
     readonly directory: MemberDirectory;
-    readonly clocks: ClockMonitor;
+    readonly clockMonitor: ClockMonitor;
     readonly clock: Clock;
     readonly logger: Logger;
     /** Time in milliseconds after which a write to the platform has either taken effect or never will. */
-    readonly writeSettleTime: number;
+    readonly writeOutcomeDelay: number;
 }
 
 /**
@@ -63,9 +63,9 @@
     private grantCount = 0n;
     private grantFencing = 0;
 
-    private constructor(private readonly dependencies: MoveDutyParts) {}
+    private constructor(private readonly dependencies: MoveDutyDependencies) {}
 
-    static create(dependencies: MoveDutyParts): MoveDuty {
+    static create(dependencies: MoveDutyDependencies): MoveDuty {
         return new MoveDuty(dependencies);
     }
 
@@ -82,8 +82,8 @@
     }
 
     /** Returns the time before the deadline, in milliseconds, from which a move that is not completed is rolled back. */
-    getMargin(): number {
-        return this.dependencies.writeSettleTime + clockDifferenceLimitMilliseconds;
+    getDeadlineMargin(): number {
+        return this.dependencies.writeOutcomeDelay + clockDifferenceLimitMilliseconds;
     }
 
     /** Renews the grants, then reads and processes every move once; does nothing without the lease. */
@@ -124,7 +124,7 @@
 
     private grantShare(record: MoveRecord): void {
         const grant = this.dependencies.lease.getGrant();
-        if (grant === undefined || !this.dependencies.clocks.isWithinBounds()) {
+        if (grant === undefined || !this.dependencies.clockMonitor.isWithinBounds()) {
             return;
         }
         if (grant.fencing !== this.grantFencing) {
@@ -147,7 +147,7 @@
                 const record = current === undefined ? undefined : parseMoveRecord(current);
                 const hasRecord = record !== undefined && record.to === move.to && record.deadline === move.deadline;
                 const service = configuration.findService(move.service);
-                const isTooLate = move.deadline - clock.getWallTime() < this.getMargin();
+                const isTooLate = move.deadline - clock.getWallTime() < this.getDeadlineMargin();
                 if (hasRecord || isTooLate || service === undefined || service.version === move.to || record?.state === MoveState.Running) {
                     continue;
                 }
@@ -177,12 +177,12 @@
             return;
         }
         const { keeper, clock } = this.dependencies;
-        const rollback = keeper.findTakeBack(record.service);
+        const rollback = keeper.findRollback(record.service);
         if (rollback !== undefined) {
             await this.endMove(record, revision, MoveState.TakenBack, rollback.reason, rollback.detail);
             return;
         }
-        if (clock.getWallTime() >= record.deadline - this.getMargin()) {
+        if (clock.getWallTime() >= record.deadline - this.getDeadlineMargin()) {
             const detail = `${keeper.computeEvidence(record.service, record.to).trials} of ${completionTrials} attempts seen`;
             await this.endMove(record, revision, MoveState.TakenBack, MoveReason.Deadline, detail);
             return;
@@ -291,7 +291,7 @@
         }
         const confirmed = new Set([directory.identity.failureDomain]);
         for (const member of directory.listMembers()) {
-            if (directory.isAlive(member) && (member.revisions.get(movePrefix + record.service) ?? 0) >= revision) {
+            if (directory.isReachable(member) && (member.revisions.get(movePrefix + record.service) ?? 0) >= revision) {
                 confirmed.add(member.failureDomain);
             }
         }
--- a/src/control/moves/moveWebhook.ts
+++ b/src/control/moves/moveWebhook.ts
@@ -1,7 +1,7 @@
 import got from "got";
 import { describeError } from "../../common/failure.js";
 import { Logger } from "../../common/logging.js";
-import { MoveListener } from "./moveKeeper.js";
+import { MoveListener } from "./moveController.js";
 import { MoveRecord } from "./moveRecord.js";
 
 const requestTimeoutMilliseconds = 5_000;
--- a/src/daemon/gatewayDaemon.ts
+++ b/src/daemon/gatewayDaemon.ts
@@ -5,7 +5,7 @@
 import { LogEvents } from "../common/logEvents.js";
 import { waitForStopSignal } from "../common/stopSignal.js";
 import { GatewaySettings, readGatewaySettings } from "../config/gatewaySettings.js";
-import { HopTracing, NoTracing } from "../gateway/hopTracing.js";
+import { HopTracing, NoopTracing } from "../gateway/hopTracing.js";
 import { GatewayKeys as Keys } from "../node/gatewayKeys.js";
 import { DeploymentBindings, GatewayNode } from "../node/gatewayNode.js";
 import { DaemonExitCode } from "./exitCodes.js";
@@ -62,7 +62,7 @@
 
 async function loadTracing(settings: GatewaySettings): Promise<HopTracing> {
     if (settings.collectorUrl === undefined) {
-        return NoTracing.create();
+        return NoopTracing.create();
     }
     const { Tracing } = await import("../common/tracing.js");
     const { CollectedTracing } = await import("../gateway/collectedTracing.js");
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -2,7 +2,7 @@
 import { createDiagnostic, DiagnosticCategory, Diagnostics, formatDiagnostic } from "../common/diagnostics.js";
 import { describeError } from "../common/failure.js";
 import { waitForStopSignal } from "../common/stopSignal.js";
-import { readNodeSettings } from "../config/settings.js";
+import { readNodeSettings } from "../config/nodeSettings.js";
 import { CorianderNode } from "../node/corianderNode.js";
 import { Keys } from "../node/keys.js";
 import { DaemonExitCode } from "./exitCodes.js";
--- a/src/duties/dutyLease.test.ts
+++ b/src/duties/dutyLease.test.ts
@@ -4,7 +4,7 @@
 import { Clock } from "../common/clock.js";
 import { SilentEventLog } from "../common/eventLog.js";
 import { SeededRandom } from "../common/random.js";
-import { LeaseKeeper } from "../control/commands/leaseKeeper.js";
+import { LeaseManager } from "../control/commands/leaseManager.js";
 import { GatewayDigestSchema } from "../generated/corianderward/gateway/v1/gateway_pb.js";
 import { PeerTable } from "../gossip/peerTable.js";
 import { MemoryObjects, MemoryObjectStore } from "../testing/memoryObjectStore.js";
@@ -23,12 +23,12 @@
             lease: { holder: "a", fencing: 4n, isHeldBySender },
         });
         table.recordDigest(digest);
-        lease.recordNews("a", 4);
+        lease.mergeReportedHolder("a", 4);
     };
     receiveDigest(1, true);
-    assert.equal(lease.isHolderHeard(), true);
+    assert.equal(lease.isHolderReachable(), true);
     receiveDigest(2, false);
-    assert.equal(lease.isHolderHeard(), false);
+    assert.equal(lease.isHolderReachable(), false);
 });
 
 test("a node whose host is suspended while its lease write is pending does not assume that it holds the lease after it resumes", async () => {
@@ -41,7 +41,9 @@
         sleep: (milliseconds, signal) => virtualClock.sleep(milliseconds, signal),
     };
     const store = MemoryObjectStore.create(MemoryObjects.create(), virtualClock, virtualClock, SeededRandom.create(1));
-    const leaseManager = LeaseKeeper.create(store, clock, { name: "a", incarnation: 1 }, "leases/duties", term, { recordTaken: () => {} });
+    const leaseManager = LeaseManager.create(store, clock, { name: "a", incarnation: 1 }, "leases/duties", term, {
+        recordAcquisition: () => {},
+    });
     const round = leaseManager.runRound();
     suspended = term;
     await virtualClock.runUntil(500);
--- a/src/duties/dutyLease.ts
+++ b/src/duties/dutyLease.ts
@@ -1,7 +1,7 @@
 import { Clock } from "../common/clock.js";
 import { EventLog } from "../common/eventLog.js";
 import { LogEvents } from "../common/logEvents.js";
-import { HolderWatch, LeaseCandidate, LeaseKeeper } from "../control/commands/leaseKeeper.js";
+import { LeaseCandidate, LeaseHolderMonitor, LeaseManager } from "../control/commands/leaseManager.js";
 import { PeerTable } from "../gossip/peerTable.js";
 import { ObjectStore } from "../provider/objectStore.js";
 import { DutyCredentials } from "./types.js";
@@ -16,8 +16,8 @@
 const recentStartMilliseconds = 15_000;
 
 /** The lease whose holder alone carries out the duties, and the latest holder known from this node and its peers. */
-export class DutyLease implements HolderWatch {
-    private readonly leaseManager: LeaseKeeper;
+export class DutyLease implements LeaseHolderMonitor {
+    private readonly leaseManager: LeaseManager;
     private readonly clock: Clock;
     private knownHolder = "";
     private knownFencing = 0;
@@ -33,8 +33,8 @@
         private readonly log: EventLog,
     ) {
         this.clock = clock;
-        this.leaseManager = LeaseKeeper.create(store, clock, candidate, leaseName, term, {
-            recordTaken: (_lease, fencing) => this.recordAcquisition(fencing),
+        this.leaseManager = LeaseManager.create(store, clock, candidate, leaseName, term, {
+            recordAcquisition: (_lease, fencing) => this.recordAcquisition(fencing),
         }, this);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Merges the holder that a peer reports; the report with the highest fencing token is the latest. */
-    recordNews(holder: string, fencing: number): void {
+    mergeReportedHolder(holder: string, fencing: number): void {
         if (fencing <= this.knownFencing) {
             return;
         }
@@ -94,7 +94,7 @@
     }
 
     /** Returns whether this node must not try to acquire the lease: the holder is reachable or an older node should acquire it. */
-    isHolderHeard(): boolean {
+    isHolderReachable(): boolean {
         return this.isKnownHolderReachable() || this.hasOlderCandidate();
     }
 
@@ -103,7 +103,7 @@
         if (this.clock.getWallTime() - this.candidate.incarnation > recentStartMilliseconds) {
             return false;
         }
-        return this.table.listHeard().some(peer =>
+        return this.table.listReachablePeers().some(peer =>
             !peer.isLeaving && peer.isStoreReachable
             && peer.incarnation + recentStartMilliseconds < this.candidate.incarnation
         );
@@ -111,7 +111,7 @@
 
     private isKnownHolderReachable(): boolean {
         const holder = this.table.findPeer(this.knownHolder);
-        if (holder === undefined || holder.isLeaving || !this.table.isHeard(holder)) {
+        if (holder === undefined || holder.isLeaving || !this.table.isReachable(holder)) {
             return false;
         }
         // A reachable peer may have lost the lease: fenced off, it no longer reports holding it; without the store it cannot renew.
--- a/src/duties/fleetDuty.test.ts
+++ b/src/duties/fleetDuty.test.ts
@@ -5,8 +5,8 @@
 import { Ok, Result } from "../common/results.js";
 import { EndpointDirectory } from "../fleet/endpointDirectory.js";
 import { PeerTable } from "../gossip/peerTable.js";
-import { PlainVersionMoves } from "../node/bindings/plainDeployment.js";
-import { WorkMeter } from "../placement/workMeter.js";
+import { DefaultVersionMoveStore } from "../node/bindings/defaultDeployment.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
 import { ConfigurationHolder } from "../routes/configurationHolder.js";
 import { createEndpointEntry, createRoute, createRouteConfiguration } from "../testing/gatewayParts.js";
 import { MemoryObjects, MemoryObjectStore } from "../testing/memoryObjectStore.js";
@@ -58,8 +58,8 @@
         }],
     });
     const directory = EndpointDirectory.create(clock);
-    const work = WorkMeter.create(clock, { promptTokensPerMillisecond: 48, outputToken: 0.4 });
-    const moves = VersionMoves.create(PlainVersionMoves.create(store), table.identity, clock, log);
+    const work = ServiceWorkTracker.create(clock, { promptTokensPerMillisecond: 48, outputToken: 0.4 });
+    const moves = VersionMoves.create(DefaultVersionMoveStore.create(store), table.identity, clock, log);
     const api = new RecordingApi();
     const duty = FleetDuty.create({
         api,
--- a/src/duties/fleetDuty.ts
+++ b/src/duties/fleetDuty.ts
@@ -4,12 +4,12 @@
 import { millisecondsPerSecond } from "../common/units.js";
 import { EndpointDirectory } from "../fleet/endpointDirectory.js";
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
-import { WorkMeter } from "../placement/workMeter.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
 import { ConfigurationHolder } from "../routes/configurationHolder.js";
 import { RoutedService, ScalingBounds } from "../routes/types.js";
 import { VersionTraffic } from "../versions/versionTraffic.js";
 import { DutyLease } from "./dutyLease.js";
-import { DomainFleet, FleetPlanner } from "./fleetPlan.js";
+import { DomainFleet, FleetPlanner } from "./fleetPlanner.js";
 import { DutyApi, DutyCredentials, DutyOutcome, EndpointOrder } from "./types.js";
 
 /** Pause before reclaimable endpoints are ordered again where none were available, in milliseconds: the cloud counts each call. */
@@ -39,7 +39,7 @@
     readonly lease: DutyLease;
     readonly configuration: ConfigurationHolder;
     readonly directory: EndpointDirectory;
-    readonly work: WorkMeter;
+    readonly work: ServiceWorkTracker;
     readonly versions: VersionTraffic;
     readonly settings: FleetSettings;
 }
@@ -195,7 +195,7 @@
     /** Lists the usable endpoints that carry a service's traffic. */
     private listServing(service: string): FleetEndpoint[] {
         const { directory, versions } = this.dependencies;
-        return versions.listCarrying(service, directory.listEndpoints(service)).filter(endpoint => endpoint.isUsable());
+        return versions.listServing(service, directory.listEndpoints(service)).filter(endpoint => endpoint.isUsable());
     }
 
     /** Sends an order for the given number of endpoints unless it is already ordered or must wait. */
--- a/src/duties/fleetPlan.test.ts
+++ b/src/duties/fleetPlanner.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DomainFleet, FleetPlanner } from "./fleetPlan.js";
+import { DomainFleet, FleetPlanner } from "./fleetPlanner.js";
 
 function createDomain(failureDomain: string, overrides: Partial<DomainFleet> = {}): DomainFleet {
     return { failureDomain, price: 1, reclaimable: 0, isReclaimableAvailable: true, ...overrides };
--- a/src/duties/usageDuty.test.ts
+++ b/src/duties/usageDuty.test.ts
@@ -83,7 +83,7 @@
         for (let step = 0; step < 120; step += 1) {
             await clock.runUntil(step * 500);
             // Each node counts differently, so a new lease holder that recomputed a report would send different counts.
-            nodes.forEach((node, index) => node.counter.recordRun("shops", clock.getMonotonicTime() - index));
+            nodes.forEach((node, index) => node.counter.recordStartedRequest("shops", clock.getMonotonicTime() - index));
             if (random.pickFraction() < 0.05) {
                 const holder = nodes.find(node => node.lease.getCredentials() !== undefined);
                 if (holder !== undefined) {
@@ -132,7 +132,7 @@
     second.start();
     for (let step = 2; step < 40; step += 1) {
         await clock.runUntil(step * 500);
-        first.counter.recordRun("shops", clock.getMonotonicTime());
+        first.counter.recordStartedRequest("shops", clock.getMonotonicTime());
     }
     first.runner.stop();
     void first.lease.release();
--- a/src/duties/usageDuty.ts
+++ b/src/duties/usageDuty.ts
@@ -2,7 +2,7 @@
 import { Clock } from "../common/clock.js";
 import { EventLog } from "../common/eventLog.js";
 import { LogEvents } from "../common/logEvents.js";
-import { describeLife, PeerTable } from "../gossip/peerTable.js";
+import { formatIncarnationKey, PeerTable } from "../gossip/peerTable.js";
 import { ObjectStore, writeObject } from "../provider/objectStore.js";
 import { StoredObject } from "../provider/types.js";
 import { UsageCounter } from "../usage/usageCounter.js";
@@ -107,7 +107,7 @@
             return true;
         }
         const endedAt = clock.getMonotonicTime() - sinceEnd;
-        return table.listPeers().every(peer => peer.heardAt > endedAt || peer.heardAt === -Infinity);
+        return table.listPeers().every(peer => peer.lastSeenAt > endedAt || peer.lastSeenAt === -Infinity);
     }
 
     /** Returns the newest reports, as many as the next lease holder may have to send again. */
@@ -124,7 +124,7 @@
     /** Computes the report of a window and stores it; undefined when the write failed or its outcome is unknown. */
     private async storeReport(window: number): Promise<UsageReport | undefined> {
         const { dependencies } = this;
-        dependencies.ledger.recordUsage(describeLife(dependencies.table.identity), window, dependencies.counter.listUsage(window));
+        dependencies.ledger.recordUsage(formatIncarnationKey(dependencies.table.identity), window, dependencies.counter.listUsage(window));
         const report: UsageReport = { window, counts: dependencies.ledger.computeCounts(window) };
         const reports = this.listRetainedReports([...this.reports, report]);
         const written = await writeObject(dependencies.store, reportsObjectName, { reports }, this.record);
--- a/src/duties/versionMoveDuty.ts
+++ b/src/duties/versionMoveDuty.ts
@@ -4,8 +4,8 @@
 import { EndpointDirectory } from "../fleet/endpointDirectory.js";
 import { ConfigurationHolder } from "../routes/configurationHolder.js";
 import { RouteKind } from "../routes/types.js";
-import { MoveSchedule, settleMarginMilliseconds } from "../versions/moveSchedule.js";
-import { MoveAccount, MoveAccountStore, MoveStage, VersionSide } from "../versions/types.js";
+import { finishMarginMilliseconds, MoveSchedule } from "../versions/moveSchedule.js";
+import { MoveStage, VersionMoveStatus, VersionMoveStatusStore, VersionSide } from "../versions/types.js";
 import { VersionMove, VersionMoves } from "../versions/versionMoves.js";
 import { DutyLease } from "./dutyLease.js";
 import { Duty } from "./dutyRunner.js";
@@ -19,7 +19,7 @@
     readonly log: EventLog;
     readonly lease: DutyLease;
     readonly moves: VersionMoves;
-    readonly accounts: MoveAccountStore;
+    readonly accounts: VersionMoveStatusStore;
     readonly configuration: ConfigurationHolder;
     readonly directory: EndpointDirectory;
     readonly schedule: MoveSchedule;
@@ -46,19 +46,19 @@
             return;
         }
         const fields = { duty: "version move", service: move.order.service, target: account.target, stage: account.stage };
-        const written = await this.dependencies.accounts.writeAccount(move.object, account);
+        const written = await this.dependencies.accounts.writeStatus(move.object, account);
         if (written.err) {
             // After an unknown outcome the next round writes again; its condition fails if the first write took effect.
             const { outcome, failure } = written.val;
             this.dependencies.log.log(LogEvents.DutyFailed, { ...fields, outcome, cause: failure.text });
             return;
         }
-        this.dependencies.moves.recordAccount(move, { ...move.object, revision: written.val }, account);
+        this.dependencies.moves.recordStatus(move, { ...move.object, revision: written.val }, account);
         this.dependencies.log.log(LogEvents.DutyDone, { ...fields, revision: written.val, reason: account.reason });
     }
 
     /** Returns the account that a move should have now; its stage differs from the stored one when the move must advance. */
-    private createAccount(move: VersionMove): MoveAccount {
+    private createAccount(move: VersionMove): VersionMoveStatus {
         const { target } = move.order;
         const { deadline } = move;
         if (move.finding !== undefined) {
@@ -66,7 +66,7 @@
         }
         const timeLeft = deadline - this.dependencies.clock.getWallTime();
         const exposed = move.evidence.computeCounts(VersionSide.New).trials;
-        if (timeLeft > settleMarginMilliseconds) {
+        if (timeLeft > finishMarginMilliseconds) {
             const stage = this.computeStage(move, timeLeft, exposed);
             return { target, deadline, stage, reason: `${exposed} attempts show no fault` };
         }
@@ -91,8 +91,8 @@
             duration: move.order.duration,
             timeLeft,
             attempts: evidence.computeCounts(VersionSide.Old).trials + exposed,
-            exposed,
-            boundStreams,
+            exposedAttempts: exposed,
+            nonResumableStreams: boundStreams,
         });
         // The new version does not get all requests before enough attempts have shown that it works.
         return exposed < minimumNewVersionAttempts ? MoveStage.Trial : planned;
--- a/src/endpoints/endpointRequest.ts
+++ b/src/endpoints/endpointRequest.ts
@@ -1,7 +1,7 @@
 import { Agent, ClientRequest, IncomingMessage, OutgoingHttpHeaders, request as openHttpRequest } from "node:http";
 import { Socket } from "node:net";
 import { NetworkAddress } from "../config/types.js";
-import { ConnectionTracker } from "./connectionVerdict.js";
+import { ConnectionTracker } from "./connectionTracker.js";
 
 /** Contents, target and limits of a request to an endpoint. Times are in milliseconds. */
 export interface EndpointRequestOptions {
--- a/src/endpoints/httpModelEndpoint.ts
+++ b/src/endpoints/httpModelEndpoint.ts
@@ -8,7 +8,7 @@
 import { Verdict } from "../common/verdict.js";
 import { formatAddress } from "../config/sectionReader.js";
 import { NetworkAddress } from "../config/types.js";
-import { ConnectionTracker } from "./connectionVerdict.js";
+import { ConnectionTracker } from "./connectionTracker.js";
 import { EndpointRequest, readResponseChunks, SilenceError } from "./endpointRequest.js";
 import { CacheEvents, EngineModels, EngineOrder, ModelEndpointClient, TokenSink } from "./modelEndpoint.js";
 import { FinishReason, GenerationAttempt, GenerationEnd, LoadReport, loadReportSchema } from "./types.js";
--- a/src/endpoints/plainEndpoint.ts
+++ b/src/endpoints/plainEndpoint.ts
@@ -6,12 +6,12 @@
 import { NetworkAddress } from "../config/types.js";
 import { EndpointRequest, readResponseChunks } from "./endpointRequest.js";
 import { createStatusFailure, leavingHeader, notRunHeader } from "./httpModelEndpoint.js";
-import { PlainAnswer, PlainCall } from "./types.js";
+import { PlainCall, PlainResponse } from "./types.js";
 
 /** Client interface to plain services. */
 export interface PlainEndpointClient {
     /** Sends one call and reads the whole response. A failure carries a verdict. */
-    sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainAnswer, Failure>>;
+    sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainResponse, Failure>>;
 }
 
 const idleSocketMilliseconds = 3_000;
@@ -25,7 +25,7 @@
         return new HttpPlainEndpointClient(pooledAgent, new Agent({ keepAlive: false }));
     }
 
-    async sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainAnswer, Failure>> {
+    async sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainResponse, Failure>> {
         const request = EndpointRequest.create({
             address,
             method: call.method,
@@ -70,7 +70,7 @@
     return { ...headers, ...call.traceHeaders };
 }
 
-async function readResponse(response: IncomingMessage, call: PlainCall): Promise<Result<PlainAnswer, Failure>> {
+async function readResponse(response: IncomingMessage, call: PlainCall): Promise<Result<PlainResponse, Failure>> {
     const chunks: Buffer[] = [];
     let size = 0;
     await readResponseChunks(response, chunk => {
--- a/src/endpoints/types.ts
+++ b/src/endpoints/types.ts
@@ -9,16 +9,16 @@
     Suspect = "suspect",
     /** The endpoint will be removed; it receives no new work. */
     Leaving = "leaving",
-    Gone = "gone",
+    Removed = "gone",
 }
 
 /** Evidence on which a node bases the recorded state of an endpoint. */
 export enum EndpointEvidence {
     HostList = "host-list",
     Notice = "notice",
-    OwnRefusal = "own-refusal",
+    LocalRefusal = "own-refusal",
     ConnectionFailure = "connection-failure",
-    Death = "death",
+    Crash = "death",
     Operator = "operator",
     Probe = "probe",
 }
@@ -103,7 +103,7 @@
 }
 
 /** The complete response of a plain service. */
-export interface PlainAnswer {
+export interface PlainResponse {
     readonly status: number;
     readonly contentType: string | undefined;
     readonly body: Buffer;
--- a/src/fleet/endpointDirectory.ts
+++ b/src/fleet/endpointDirectory.ts
@@ -8,7 +8,7 @@
     Draining = "draining",
     Removed = "removed",
     /** A process with another incarnation, or of another service, registered under the same id. */
-    Reborn = "reborn",
+    Restarted = "reborn",
 }
 
 /** One change of the directory. */
@@ -45,7 +45,7 @@
     }
 
     /** Sets the function that returns the KV memory of a service's engines, in tokens. */
-    setMemorySource(getMemoryTokens: (service: string) => number): void {
+    setMemoryTokensSource(getMemoryTokens: (service: string) => number): void {
         this.getMemoryTokens = getMemoryTokens;
     }
 
@@ -89,7 +89,7 @@
         }
         const wasDraining = known.entry.isDraining;
         known.entry = entry;
-        known.isGone = false;
+        known.isRemoved = false;
         if (entry.isDraining && !wasDraining) {
             this.publishChange({ kind: DirectoryChangeKind.Draining, endpoint: known, source });
         }
@@ -113,7 +113,7 @@
 
     /** Marks an endpoint as draining after it reported so itself, before its entry in the store changes. */
     markDraining(endpoint: FleetEndpoint, source: string): void {
-        if (endpoint.entry.isDraining || endpoint.isGone) {
+        if (endpoint.entry.isDraining || endpoint.isRemoved) {
             return;
         }
         endpoint.entry = { ...endpoint.entry, isDraining: true };
@@ -121,11 +121,11 @@
     }
 
     /** Marks an endpoint as removed after another endpoint responded at its address. */
-    markGone(endpoint: FleetEndpoint, source: string): void {
-        if (endpoint.isGone) {
+    markRemoved(endpoint: FleetEndpoint, source: string): void {
+        if (endpoint.isRemoved) {
             return;
         }
-        endpoint.isGone = true;
+        endpoint.isRemoved = true;
         this.publishChange({ kind: DirectoryChangeKind.Removed, endpoint, source });
     }
 
@@ -136,13 +136,13 @@
         const endpoint = FleetEndpoint.create(entry, this.getMemoryTokens(entry.service));
         this.endpoints.set(entry.id, endpoint);
         this.endpointsByService.set(entry.service, [...this.listEndpoints(entry.service), endpoint]);
-        endpoint.heardAt = this.clock.getMonotonicTime();
-        const kind = known === undefined ? DirectoryChangeKind.Added : DirectoryChangeKind.Reborn;
+        endpoint.lastReceivedAt = this.clock.getMonotonicTime();
+        const kind = known === undefined ? DirectoryChangeKind.Added : DirectoryChangeKind.Restarted;
         this.publishChange({ kind, endpoint, previous: known, source });
     }
 
     private removeEndpoint(endpoint: FleetEndpoint): void {
-        endpoint.isGone = true;
+        endpoint.isRemoved = true;
         this.endpoints.delete(endpoint.entry.id);
         const others = this.listEndpoints(endpoint.entry.service).filter(other => other !== endpoint);
         this.endpointsByService.set(endpoint.entry.service, others);
--- a/src/fleet/endpointFollower.test.ts
+++ b/src/fleet/endpointFollower.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { SilentEventLog } from "../common/eventLog.js";
-import { PlainEndpointDecoder } from "../node/bindings/plainDeployment.js";
+import { DefaultEndpointDecoder } from "../node/bindings/defaultDeployment.js";
 import { createEndpointEntry } from "../testing/gatewayParts.js";
 import { VirtualClock } from "../testing/virtualClock.js";
 import { EndpointDirectory } from "./endpointDirectory.js";
@@ -9,7 +9,7 @@
 
 function createFollower(clock: VirtualClock) {
     const directory = EndpointDirectory.create(clock);
-    const follower = EndpointFollower.create(directory, PlainEndpointDecoder.create(), clock, SilentEventLog.create());
+    const follower = EndpointFollower.create(directory, DefaultEndpointDecoder.create(), clock, SilentEventLog.create());
     const isUsable = (id: string) => directory.findEndpoint(id)?.isUsable() ?? false;
     const change = (revision: number, parts: Parameters<typeof createEndpointEntry>[0]) => {
         const value = createEndpointEntry(parts);
@@ -52,13 +52,13 @@
     change(1, { id: "a", incarnation: 1 });
     const before = directory.findEndpoint("a");
     before?.cache.recordPart({ id: "p", tokens: 5 });
-    before?.recordLoss(0);
+    before?.recordMissingResponse(0);
     change(2, { id: "a", incarnation: 2 });
     const after = directory.findEndpoint("a");
     assert.notEqual(after, before);
     assert.equal(after?.isExcluded(0), false);
     assert.equal(after?.cache.countCachedTokens([{ id: "p", tokens: 5 }]), 0);
-    assert.equal(before?.isGone, true);
+    assert.equal(before?.isRemoved, true);
 });
 
 test("an endpoint received only from a peer is removed by a store listing or watch at a newer revision", () => {
--- a/src/fleet/endpointFollower.ts
+++ b/src/fleet/endpointFollower.ts
@@ -2,7 +2,7 @@
 import { EventLog } from "../common/eventLog.js";
 import { LogEvents } from "../common/logEvents.js";
 import { Result } from "../common/results.js";
-import { ObjectHandler } from "../provider/objectFollower.js";
+import { ObjectChangeHandler } from "../provider/objectWatcher.js";
 import { ObjectList, StoredObject } from "../provider/types.js";
 import { EndpointDirectory } from "./endpointDirectory.js";
 import { EndpointEntry } from "./types.js";
@@ -22,7 +22,7 @@
 }
 
 /** Updates the endpoint directory from the entries that endpoints write to the store. */
-export class EndpointFollower implements ObjectHandler {
+export class EndpointFollower implements ObjectChangeHandler {
     private readonly pendingRemovalRevisions = new Map<string, number>();
     private getOutageEndedAt: () => number = () => -Infinity;
     private revision = 0;
--- a/src/fleet/fleetEndpoint.ts
+++ b/src/fleet/fleetEndpoint.ts
@@ -15,7 +15,7 @@
 const fullMilliseconds = 150;
 
 /** Load of all other nodes' requests at an endpoint, from their last reports. */
-export interface SharedLoad {
+export interface PeerLoad {
     readonly running: number;
     readonly promptTokens: number;
 }
@@ -27,13 +27,13 @@
     /** Prompt tokens of this node's requests that have received no event yet. */
     promptTokens = 0;
     /** Total load of all other nodes at the endpoint. */
-    sharedLoad: SharedLoad = { running: 0, promptTokens: 0 };
+    peerLoad: PeerLoad = { running: 0, promptTokens: 0 };
     reportedLoad: ReportedLoad | undefined;
     reportedAt = -Infinity;
     /** Time of the last data received from it; -Infinity before the first. */
-    heardAt = -Infinity;
+    lastReceivedAt = -Infinity;
     /** Whether the endpoint was removed, or another endpoint responded at its address. Only a new entry makes it usable again. */
-    isGone = false;
+    isRemoved = false;
     readonly cache: PromptCache;
     private failureShare = 0;
     private failuresInRow = 0;
@@ -51,7 +51,7 @@
 
     /** Returns whether new requests may be sent to it: it is neither removed nor draining. */
     isUsable(): boolean {
-        return !this.isGone && !this.entry.isDraining;
+        return !this.isRemoved && !this.entry.isDraining;
     }
 
     /** Returns whether it is temporarily excluded because it did not respond. */
@@ -81,12 +81,12 @@
 
     /** Returns the number of all nodes' requests that run or wait at the endpoint. */
     countRequests(): number {
-        return this.running + this.sharedLoad.running;
+        return this.running + this.peerLoad.running;
     }
 
     /** Returns the number of all nodes' prompt tokens that the endpoint has yet to process. */
     countPromptTokens(): number {
-        return this.promptTokens + this.sharedLoad.promptTokens;
+        return this.promptTokens + this.peerLoad.promptTokens;
     }
 
     /** Records the load that the endpoint reported with a response. */
@@ -104,13 +104,13 @@
     }
 
     /** Records an error response. */
-    recordError(): void {
+    recordErrorResponse(): void {
         this.failureShare += (1 - this.failureShare) * resultWeight;
     }
 
     /** Records a missing response: a refused or lost connection, a timeout or an unreadable response. */
-    recordLoss(now: number): void {
-        this.recordError();
+    recordMissingResponse(now: number): void {
+        this.recordErrorResponse();
         this.failuresInRow += 1;
         const exclusion = initialExclusionMilliseconds * 2 ** (this.failuresInRow - 1);
         this.excludedUntil = now + Math.min(exclusion, maximumExclusionMilliseconds);
--- a/src/gateway/callAttempt.ts
+++ b/src/gateway/callAttempt.ts
@@ -4,9 +4,9 @@
 import { Verdict } from "../common/verdict.js";
 import { formatAddress } from "../config/sectionReader.js";
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
-import { BufferingResponseRelay, RelayOutcome } from "./answerRelay.js";
 import { EndpointExchange } from "./endpointExchange.js";
-import { AttemptOptions, AttemptResult, CallAttemptParts, IncomingCall } from "./types.js";
+import { BufferingResponseRelay, RelayOutcome } from "./responseRelay.js";
+import { AttemptOptions, AttemptResult, CallAttemptDependencies, IncomingCall } from "./types.js";
 
 const statusServerError = 500;
 const statusGatewayTimeout = 504;
@@ -30,14 +30,14 @@
     private isPastDeadline = false;
     private unprocessedPromptTokens: number;
 
-    private constructor(private readonly dependencies: CallAttemptParts, private readonly options: AttemptOptions) {
+    private constructor(private readonly dependencies: CallAttemptDependencies, private readonly options: AttemptOptions) {
         this.endpoint = options.placement.endpoint;
         this.unprocessedPromptTokens = options.placement.tokensToRead;
         this.sentAt = dependencies.clock.getMonotonicTime();
         this.lastReceivedAt = this.sentAt;
     }
 
-    static create(dependencies: CallAttemptParts, options: AttemptOptions): CallAttempt {
+    static create(dependencies: CallAttemptDependencies, options: AttemptOptions): CallAttempt {
         return new CallAttempt(dependencies, options);
     }
 
@@ -120,7 +120,7 @@
         }
         const status = response.statusCode ?? 0;
         if (status >= statusServerError && status !== statusGatewayTimeout) {
-            this.endpoint.recordError();
+            this.endpoint.recordErrorResponse();
             this.recordVersionAttempt(false, undefined);
             if (options.mayRetry && !options.caller.hasStarted()) {
                 response.on("error", () => exchange.close());
@@ -155,7 +155,7 @@
         const timeRatio = this.computeTimeRatio(servedAt);
         this.endpoint.recordSuccess(timeRatio);
         this.recordVersionAttempt(true, timeRatio);
-        this.dependencies.crashes.recordSuccess(this.options.call);
+        this.dependencies.poisonRequestDetector.recordSuccess(this.options.call);
     }
 
     /** Returns the time since the attempt was sent as a multiple of the expected time. */
@@ -165,8 +165,8 @@
 
     private handleTruncatedResponse(): AttemptResult {
         if (!this.abortController.signal.aborted) {
-            this.endpoint.recordLoss(this.dependencies.clock.getMonotonicTime());
-            this.dependencies.crashes.recordLoss(this.endpoint, this.options.call.getFingerprint());
+            this.endpoint.recordMissingResponse(this.dependencies.clock.getMonotonicTime());
+            this.dependencies.poisonRequestDetector.recordLoss(this.endpoint, this.options.call.getFingerprint());
         }
         return this.createResult(Failure.create(Verdict.MayHaveRun, Diagnostics.Answer_broke_off));
     }
@@ -180,17 +180,17 @@
         }
         const { code } = failure.message;
         if (code === Diagnostics.Another_endpoint_has_the_address.code) {
-            dependencies.directory.markGone(this.endpoint, "own request");
+            dependencies.directory.markRemoved(this.endpoint, "own request");
         }
         else if (code === Diagnostics.Endpoint_refused_before_running_0.code) {
             this.recordActivity();
             this.endpoint.recordRefusal(now);
         }
         else if (code === Diagnostics.Endpoint_failed_with_status_0.code) {
-            this.endpoint.recordError();
+            this.endpoint.recordErrorResponse();
         }
         else if (!options.caller.isCallerDisconnected()) {
-            this.endpoint.recordLoss(now);
+            this.endpoint.recordMissingResponse(now);
             this.recordCrashEvidence(code, exchange);
         }
         if (this.hasExceededSilenceLimit) {
@@ -204,11 +204,11 @@
     private recordCrashEvidence(code: number, exchange: EndpointExchange): void {
         const { dependencies, options } = this;
         if (!exchange.hasConnection()) {
-            dependencies.crashes.recordDeath(this.endpoint);
+            dependencies.poisonRequestDetector.recordCrash(this.endpoint);
             return;
         }
         if (code === Diagnostics.Connection_was_lost_after_the_request_was_sent_0.code && !this.abortController.signal.aborted) {
-            dependencies.crashes.recordLoss(this.endpoint, options.call.getFingerprint());
+            dependencies.poisonRequestDetector.recordLoss(this.endpoint, options.call.getFingerprint());
         }
     }
 
@@ -232,14 +232,14 @@
 
     private recordActivity(): void {
         this.lastReceivedAt = this.dependencies.clock.getMonotonicTime();
-        this.endpoint.heardAt = this.lastReceivedAt;
+        this.endpoint.lastReceivedAt = this.lastReceivedAt;
     }
 
     /** Aborts the attempt when nothing has been received from the endpoint, on any of its connections, for the silence limit. */
     private checkSilence(): void {
         const now = this.dependencies.clock.getMonotonicTime();
         const limit = this.dependencies.timing.endpointSilence;
-        if (now - this.lastReceivedAt > limit && now - this.endpoint.heardAt > limit) {
+        if (now - this.lastReceivedAt > limit && now - this.endpoint.lastReceivedAt > limit) {
             this.hasExceededSilenceLimit = true;
             this.abortController.abort();
         }
@@ -252,7 +252,7 @@
         if (call.prompt !== undefined) {
             call.prompt.parts.forEach(part => this.endpoint.cache.recordPart(part));
             this.dependencies.work.recordWork(call.service, placement.tokensToRead, call.prompt.maxOutputTokens);
-            this.dependencies.news.addPlacement(this.endpoint, call.prompt.parts);
+            this.dependencies.placementUpdates.addPlacement(this.endpoint, call.prompt.parts);
         }
     }
 
--- a/src/gateway/callForwarder.ts
+++ b/src/gateway/callForwarder.ts
@@ -7,14 +7,14 @@
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
 import { EndpointChooser } from "../placement/endpointChooser.js";
 import { Placement } from "../placement/types.js";
-import { RetryAllowance } from "../quotas/retryAllowance.js";
+import { FleetRetryBudget } from "../quotas/fleetRetryBudget.js";
 import { QuarantineLedger } from "../requests/quarantineLedger.js";
 import { RouteKind } from "../routes/types.js";
 import { UsageCounter } from "../usage/usageCounter.js";
-import { EventStreamRelay } from "./answerRelay.js";
 import { CallAttempt } from "./callAttempt.js";
-import { CallerResponse } from "./callerAnswer.js";
-import { AttemptResult, CallAttemptParts, CallOutcome, IncomingCall } from "./types.js";
+import { CallerResponse } from "./callerResponse.js";
+import { EventStreamRelay } from "./responseRelay.js";
+import { AttemptResult, CallAttemptDependencies, CallOutcome, IncomingCall } from "./types.js";
 
 /** Time before the caller's deadline at which a call fails: the response still has to reach the caller. */
 const responseMarginMilliseconds = 25;
@@ -22,10 +22,10 @@
 const sendLimit = 4;
 
 /** Dependencies of the call forwarder. */
-export interface CallForwarderDependencies extends CallAttemptParts {
+export interface CallForwarderDependencies extends CallAttemptDependencies {
     readonly log: EventLog;
     readonly chooser: EndpointChooser;
-    readonly allowance: RetryAllowance;
+    readonly retryBudget: FleetRetryBudget;
     readonly usage: UsageCounter;
     readonly ledger: QuarantineLedger;
 }
@@ -88,13 +88,13 @@
 
     async runAttempts(): Promise<CallReport> {
         const { call, dependencies, caller } = this;
-        dependencies.allowance.recordRequest(call.service);
+        dependencies.retryBudget.recordRequest(call.service);
         for (;;) {
             if (caller.isCallerDisconnected()) {
                 return this.createReport(CallOutcome.CallerDisconnected, undefined);
             }
-            if (dependencies.crashes.isRefused(call)) {
-                const deaths = dependencies.ledger.countDeaths(call.getFingerprint());
+            if (dependencies.poisonRequestDetector.isRefused(call)) {
+                const deaths = dependencies.ledger.countCrashes(call.getFingerprint());
                 return this.createFailureReport(
                     Failure.create(this.verdict, Diagnostics.Request_ended_0_endpoints_and_is_not_sent_again, deaths),
                 );
@@ -104,7 +104,7 @@
                 this.recordUnplacedDemand();
                 return this.createFailureReport(placement.val);
             }
-            if (this.sends > 0 && !dependencies.allowance.takeRepeat(call.service)) {
+            if (this.sends > 0 && !dependencies.retryBudget.takeRetry(call.service)) {
                 return this.createFailureReport(Failure.create(this.verdict, Diagnostics.Retry_budget_is_spent));
             }
             const result = await this.runAttempt(placement.val);
@@ -125,8 +125,8 @@
             // For a stream that has started, a late end is better than an interruption.
             objective: this.caller.hasStarted() ? timeLeft : call.route.objective,
             rank: call.rank,
-            tried: this.tried,
-            isBoundStream: call.route.kind === RouteKind.Stream && !this.isIdempotent,
+            triedEndpoints: this.tried,
+            isNonResumableStream: call.route.kind === RouteKind.Stream && !this.isIdempotent,
         });
     }
 
@@ -204,7 +204,7 @@
     private recordRun(startedAt: number): void {
         const { call, dependencies } = this;
         if (call.team !== undefined) {
-            dependencies.usage.recordRun(call.team.name, startedAt);
+            dependencies.usage.recordStartedRequest(call.team.name, startedAt);
         }
     }
 
--- a/src/gateway/endpointConnections.ts
+++ b/src/gateway/endpointConnectionPool.ts
@@ -61,13 +61,13 @@
 }
 
 /** Keeps one pool of reusable connections for each endpoint. */
-export class EndpointConnections {
+export class EndpointConnectionPool {
     private readonly agents = new Map<FleetEndpoint, EndpointAgent>();
 
     private constructor() {}
 
-    static create(): EndpointConnections {
-        return new EndpointConnections();
+    static create(): EndpointConnectionPool {
+        return new EndpointConnectionPool();
     }
 
     /** Returns the agent that pools the connections of an endpoint. */
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -11,7 +11,7 @@
 import { SharedRateLimiter } from "../quotas/sharedRateLimiter.js";
 import { ConfigurationHolder } from "../routes/configurationHolder.js";
 import { CallerLimits, UsageUnit } from "../routes/types.js";
-import { CallerResponse } from "./callerAnswer.js";
+import { CallerResponse } from "./callerResponse.js";
 import { CallForwarder, CallReport } from "./callForwarder.js";
 import { CallBody, CallReader } from "./callReader.js";
 import { GatewayMetrics } from "./gatewayMetrics.js";
--- a/src/gateway/hopTracing.ts
+++ b/src/gateway/hopTracing.ts
@@ -25,11 +25,11 @@
 const noopCallSpan: CallSpan = { startHop: () => noopHopSpan, end: () => {} };
 
 /** Tracing without a collector: creates no spans, at no cost. The caller's trace context is forwarded to the endpoint unchanged. */
-export class NoTracing implements HopTracing {
+export class NoopTracing implements HopTracing {
     private constructor() {}
 
-    static create(): NoTracing {
-        return new NoTracing();
+    static create(): NoopTracing {
+        return new NoopTracing();
     }
 
     startCall(): CallSpan {
--- a/src/gateway/crashWatch.ts
+++ b/src/gateway/poisonRequestDetector.ts
@@ -6,7 +6,7 @@
 import { IncomingCall } from "./types.js";
 
 /** Number of endpoints that a request must have crashed before it is refused; fewer would also refuse requests that ran beside it by chance. */
-export const deathsUntilRefusal = 3;
+export const crashesUntilRefusal = 3;
 /** Longest time from the loss of a request to the evidence that its endpoint crashed: three missed heartbeats, plus a margin. */
 const crashConfirmationMilliseconds = 4_500;
 
@@ -20,7 +20,7 @@
 }
 
 /** Detects poison requests: requests that were lost several times at endpoints that turned out to have crashed. */
-export class CrashWatch {
+export class PoisonRequestDetector {
     /** Monotonic time at which a request was first seen with enough crashes to be refused, by fingerprint. */
     private readonly suspectedSinceByFingerprint = new Map<string, number>();
     private readonly lostRequestsByEndpoint = new Map<FleetEndpoint, LostRequest[]>();
@@ -31,8 +31,8 @@
         private readonly log: EventLog,
     ) {}
 
-    static create(ledger: QuarantineLedger, clock: Clock, log: EventLog): CrashWatch {
-        return new CrashWatch(ledger, clock, log);
+    static create(ledger: QuarantineLedger, clock: Clock, log: EventLog): PoisonRequestDetector {
+        return new PoisonRequestDetector(ledger, clock, log);
     }
 
     /**
@@ -44,7 +44,7 @@
             return false;
         }
         const fingerprint = call.getFingerprint();
-        if (this.ledger.countDeaths(fingerprint) < deathsUntilRefusal) {
+        if (this.ledger.countCrashes(fingerprint) < crashesUntilRefusal) {
             this.suspectedSinceByFingerprint.delete(fingerprint);
             return false;
         }
@@ -59,9 +59,9 @@
         if (this.ledger.isEmpty()) {
             return;
         }
-        const deaths = this.ledger.listDeaths(call.getFingerprint());
+        const deaths = this.ledger.listCrashedEndpoints(call.getFingerprint());
         if (deaths.length > 0) {
-            this.ledger.removeDeaths(call.getFingerprint(), deaths);
+            this.ledger.removeCrashes(call.getFingerprint(), deaths);
             this.log.log(LogEvents.SuspicionRemoved, { request: call.id, fingerprint: call.getFingerprint(), deaths: deaths.length });
         }
     }
@@ -77,7 +77,7 @@
     }
 
     /** Records evidence that an endpoint crashed: it refuses connections, or a new incarnation of it was seen. */
-    recordDeath(endpoint: FleetEndpoint): void {
+    recordCrash(endpoint: FleetEndpoint): void {
         const requests = this.lostRequestsByEndpoint.get(endpoint) ?? [];
         this.lostRequestsByEndpoint.delete(endpoint);
         const now = this.clock.getMonotonicTime();
@@ -86,10 +86,10 @@
             if (now - at >= crashConfirmationMilliseconds) {
                 continue;
             }
-            this.ledger.recordDeath(fingerprint, incarnation);
-            if (this.ledger.countDeaths(fingerprint) === deathsUntilRefusal) {
+            this.ledger.recordCrash(fingerprint, incarnation);
+            if (this.ledger.countCrashes(fingerprint) === crashesUntilRefusal) {
                 this.suspectedSinceByFingerprint.set(fingerprint, now);
-                this.log.log(LogEvents.QuarantineAdded, { fingerprint, deaths: deathsUntilRefusal, endpoint: endpoint.entry.id });
+                this.log.log(LogEvents.QuarantineAdded, { fingerprint, deaths: crashesUntilRefusal, endpoint: endpoint.entry.id });
             }
         }
     }
--- a/src/gateway/answerRelay.ts
+++ b/src/gateway/responseRelay.ts
@@ -1,5 +1,5 @@
 import { IncomingMessage } from "node:http";
-import { CallerResponse } from "./callerAnswer.js";
+import { CallerResponse } from "./callerResponse.js";
 import { EndpointExchange } from "./endpointExchange.js";
 import { EventSplitter } from "./eventSplitter.js";
 import { createResponseHeaders } from "./forwardedHeaders.js";
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -2,19 +2,19 @@
 import { Failure } from "../common/failure.js";
 import { EndpointDirectory } from "../fleet/endpointDirectory.js";
 import { PromptShape } from "../fleet/types.js";
-import { CallPlacement } from "../placement/callPlacement.js";
-import { PlacementNews } from "../placement/placementNews.js";
+import { CallPlacementPolicy } from "../placement/callPlacementPolicy.js";
+import { PlacementUpdates } from "../placement/placementUpdates.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
 import { Placement } from "../placement/types.js";
-import { WorkMeter } from "../placement/workMeter.js";
 import { Route, RoutedTeam } from "../routes/types.js";
 import { VersionMoves } from "../versions/versionMoves.js";
-import { EventStreamRelay } from "./answerRelay.js";
-import { CallerResponse } from "./callerAnswer.js";
+import { CallerResponse } from "./callerResponse.js";
 import { CallProtocol } from "./callProtocol.js";
-import { CrashWatch } from "./crashWatch.js";
-import { EndpointConnections } from "./endpointConnections.js";
+import { EndpointConnectionPool } from "./endpointConnectionPool.js";
 import { HeaderForwarder } from "./forwardedHeaders.js";
 import { CallSpan } from "./hopTracing.js";
+import { PoisonRequestDetector } from "./poisonRequestDetector.js";
+import { EventStreamRelay } from "./responseRelay.js";
 
 /** A completely received request of a caller. Times are monotonic milliseconds. */
 export interface IncomingCall {
@@ -67,16 +67,16 @@
 }
 
 /** Dependencies of call attempts. */
-export interface CallAttemptParts {
+export interface CallAttemptDependencies {
     readonly clock: Clock;
     readonly protocol: CallProtocol;
     readonly headers: HeaderForwarder;
-    readonly connections: EndpointConnections;
+    readonly connections: EndpointConnectionPool;
     readonly directory: EndpointDirectory;
-    readonly callPlacement: CallPlacement;
-    readonly crashes: CrashWatch;
-    readonly news: PlacementNews;
-    readonly work: WorkMeter;
+    readonly callPlacement: CallPlacementPolicy;
+    readonly poisonRequestDetector: PoisonRequestDetector;
+    readonly placementUpdates: PlacementUpdates;
+    readonly work: ServiceWorkTracker;
     readonly versions: VersionMoves;
     readonly timing: AttemptTiming;
 }
--- a/src/gossip/fleetSums.ts
+++ b/src/gossip/fleetSummaryAggregator.ts
@@ -1,9 +1,9 @@
 import { Clock } from "../common/clock.js";
-import { WorkMeter } from "../placement/workMeter.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
 import { SharedRateLimiter } from "../quotas/sharedRateLimiter.js";
+import { PeerLoadTracker } from "./peerLoadTracker.js";
 import { PeerTable } from "./peerTable.js";
-import { RelayPlan } from "./relayPlan.js";
-import { SharedLoads } from "./sharedLoads.js";
+import { RelaySelector } from "./relaySelector.js";
 import { FleetSummaryInit, GatewayDigest, GatewayPeer } from "./types.js";
 
 /** Source name for the totals of the whole fleet that a node receives from its relay. */
@@ -15,10 +15,10 @@
 export interface FleetSummaryDependencies {
     readonly clock: Clock;
     readonly table: PeerTable;
-    readonly plan: RelayPlan;
+    readonly plan: RelaySelector;
     readonly caps: SharedRateLimiter;
-    readonly work: WorkMeter;
-    readonly loads: SharedLoads;
+    readonly work: ServiceWorkTracker;
+    readonly loads: PeerLoadTracker;
 }
 
 /**
@@ -26,11 +26,11 @@
  * between every two nodes. A relay sends the other relays the totals of its own group, itself included, and sends each node of
  * its group the totals of all other nodes, so that no node is counted twice.
  */
-export class FleetSums {
+export class FleetSummaryAggregator {
     private constructor(private readonly dependencies: FleetSummaryDependencies) {}
 
-    static create(dependencies: FleetSummaryDependencies): FleetSums {
-        return new FleetSums(dependencies);
+    static create(dependencies: FleetSummaryDependencies): FleetSummaryAggregator {
+        return new FleetSummaryAggregator(dependencies);
     }
 
     /** Returns the summary that this node, as a relay, sends to a peer; undefined when this node is not a relay. */
@@ -40,7 +40,7 @@
             return undefined;
         }
         this.removeSourcesExcept(source => source !== wholeFleetSource);
-        const reachable = table.listHeard().filter(other => other !== peer);
+        const reachable = table.listReachablePeers().filter(other => other !== peer);
         if (plan.isRelay(peer)) {
             const group = reachable.filter(other => other.isDirect && !plan.isRelay(other));
             return this.buildSummary(false, group, source => !source.startsWith(groupSourcePrefix));
@@ -89,7 +89,7 @@
                     address: node.address,
                     incarnation: BigInt(node.incarnation),
                 },
-                ageMilliseconds: Math.max(0, Math.round(now - node.heardAt)),
+                ageMilliseconds: Math.max(0, Math.round(now - node.lastSeenAt)),
                 isLeaving: node.isLeaving,
                 isStoreReachable: node.isStoreReachable,
                 holdsLease: node.holdsLease,
@@ -102,8 +102,8 @@
 
     private recordSourceSums(source: string, sums: Pick<GatewayDigest, "loads" | "demands" | "works">, nodes: number): void {
         const { caps, work, loads } = this.dependencies;
-        sums.demands.forEach(({ team, demand, passed }) => caps.recordOtherDemand({ name: team, demand, passed, nodes }, source));
-        sums.works.forEach(({ service, work: amount }) => work.recordOther(service, source, amount));
+        sums.demands.forEach(({ team, demand, passed }) => caps.recordPeerDemand({ name: team, demand, passed, nodes }, source));
+        sums.works.forEach(({ service, work: amount }) => work.recordPeerWork(service, source, amount));
         loads.recordLoads(source, sums.loads);
     }
 
@@ -117,8 +117,8 @@
     }
 
     private removeSourcesExcept(isKept: (source: string) => boolean): void {
-        this.dependencies.caps.removeOthers(isKept);
-        this.dependencies.work.removeOthers(isKept);
+        this.dependencies.caps.removeSources(isKept);
+        this.dependencies.work.removeSources(isKept);
         this.dependencies.loads.removeSourcesExcept(isKept);
     }
 }
--- a/src/gossip/gatewayContent.ts
+++ b/src/gossip/gatewayDigestHandler.ts
@@ -7,11 +7,11 @@
 import { EndpointDirectory, RevisedEntry } from "../fleet/endpointDirectory.js";
 import { EndpointFollower } from "../fleet/endpointFollower.js";
 import { endpointEntrySchema } from "../fleet/types.js";
-import { deathsUntilRefusal } from "../gateway/crashWatch.js";
-import { PlacementNews } from "../placement/placementNews.js";
-import { WorkMeter } from "../placement/workMeter.js";
-import { ObjectFollower } from "../provider/objectFollower.js";
-import { RetryAllowance } from "../quotas/retryAllowance.js";
+import { crashesUntilRefusal } from "../gateway/poisonRequestDetector.js";
+import { PlacementUpdates } from "../placement/placementUpdates.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
+import { ObjectWatcher } from "../provider/objectWatcher.js";
+import { FleetRetryBudget } from "../quotas/fleetRetryBudget.js";
 import { SharedRateLimiter } from "../quotas/sharedRateLimiter.js";
 import { QuarantineLedger } from "../requests/quarantineLedger.js";
 import { ConfigurationFollower } from "../routes/configurationFollower.js";
@@ -21,11 +21,11 @@
 import { UsageLedger } from "../usage/usageLedger.js";
 import { VersionSide } from "../versions/types.js";
 import { VersionMoves } from "../versions/versionMoves.js";
-import { FleetSums } from "./fleetSums.js";
+import { FleetSummaryAggregator } from "./fleetSummaryAggregator.js";
 import { DigestHandler } from "./gossipExchange.js";
-import { describeLife, PeerTable } from "./peerTable.js";
-import { RelayPlan } from "./relayPlan.js";
-import { SharedLoads } from "./sharedLoads.js";
+import { PeerLoadTracker } from "./peerLoadTracker.js";
+import { formatIncarnationKey, PeerTable } from "./peerTable.js";
+import { RelaySelector } from "./relaySelector.js";
 import { GatewayDigest, GatewayDigestInit, GatewayPeer, SharedState, SharedStateInit } from "./types.js";
 
 /** Number of usage windows in a digest: the current one and earlier ones whose usage report may still be due. */
@@ -42,28 +42,28 @@
     readonly configurationFollower: ConfigurationFollower;
     readonly directory: EndpointDirectory;
     readonly endpointFollower: EndpointFollower;
-    readonly watches: readonly ObjectFollower[];
-    readonly news: PlacementNews;
+    readonly watches: readonly ObjectWatcher[];
+    readonly news: PlacementUpdates;
     readonly caps: SharedRateLimiter;
-    readonly allowance: RetryAllowance;
+    readonly allowance: FleetRetryBudget;
     readonly usage: UsageCounter;
     readonly usageLedger: UsageLedger;
-    readonly work: WorkMeter;
+    readonly work: ServiceWorkTracker;
     readonly lease: DutyLease;
     readonly ledger: QuarantineLedger;
     readonly versions: VersionMoves;
-    readonly plan: RelayPlan;
-    readonly loads: SharedLoads;
-    readonly sums: FleetSums;
+    readonly plan: RelaySelector;
+    readonly loads: PeerLoadTracker;
+    readonly sums: FleetSummaryAggregator;
     readonly getIsLeaving: () => boolean;
 }
 
 /** Builds the digests that a gateway sends to its peers and merges the digests that it receives. */
-export class GatewayContent implements DigestHandler {
+export class GatewayDigestHandler implements DigestHandler {
     private constructor(private readonly dependencies: GatewayDigestDependencies) {}
 
-    static create(dependencies: GatewayDigestDependencies): GatewayContent {
-        return new GatewayContent(dependencies);
+    static create(dependencies: GatewayDigestDependencies): GatewayDigestHandler {
+        return new GatewayDigestHandler(dependencies);
     }
 
     /** Creates the digest for a peer; undefined stands for a node whose name is not known yet. */
@@ -90,7 +90,7 @@
                 isHeldBySender: dependencies.lease.getCredentials() !== undefined,
             },
             suspects: this.listSuspects(),
-            works: dependencies.work.listOwn().map(({ service, work }) => ({ service, work })),
+            works: dependencies.work.listLocalWork().map(({ service, work }) => ({ service, work })),
             evidence: this.listEvidence(peer),
             summary: peer === undefined ? undefined : dependencies.sums.createSummary(peer),
         };
@@ -102,10 +102,10 @@
         this.applyPlacements(peer, digest);
         digest.suspects.forEach(suspect => this.applySuspect(suspect, peer.name));
         for (const { window, teams, source } of digest.usage) {
-            dependencies.usageLedger.recordUsage(source === "" ? describeLife(peer) : source, Number(window), teams);
+            dependencies.usageLedger.recordUsage(source === "" ? formatIncarnationKey(peer) : source, Number(window), teams);
         }
         this.applyEvidence(peer, digest);
-        dependencies.lease.recordNews(digest.lease?.holder ?? "", Number(digest.lease?.fencing ?? 0));
+        dependencies.lease.mergeReportedHolder(digest.lease?.holder ?? "", Number(digest.lease?.fencing ?? 0));
     }
 
     getLeaseHolder(): string {
@@ -164,17 +164,17 @@
     }
 
     private updateNodeCount(): void {
-        const count = this.dependencies.table.countServing();
+        const count = this.dependencies.table.countServingNodes();
         this.dependencies.caps.setNodeCount(count);
         this.dependencies.allowance.setNodeCount(count);
     }
 
     private isStoreCurrent(): boolean {
-        return this.dependencies.watches.every(watch => watch.isCurrent());
+        return this.dependencies.watches.every(watch => watch.isSynchronized());
     }
 
     private listMembers() {
-        return this.dependencies.table.listHeard().map(peer => ({
+        return this.dependencies.table.listReachablePeers().map(peer => ({
             name: peer.name,
             failureDomain: peer.failureDomain,
             address: peer.address,
@@ -189,7 +189,7 @@
             endpoints: [...record.endpoints],
             untilMilliseconds: BigInt(Math.round(record.until)),
         }));
-        const cleared = ledger.listCleared().map(({ fingerprint, endpoints }) => ({
+        const cleared = ledger.listClearedCrashes().map(({ fingerprint, endpoints }) => ({
             fingerprint,
             endpoints: [...endpoints],
             isCleared: true,
@@ -201,11 +201,11 @@
         const { ledger, log } = this.dependencies;
         const { fingerprint, endpoints } = suspect;
         if (suspect.isCleared) {
-            ledger.removeDeaths(fingerprint, endpoints);
+            ledger.removeCrashes(fingerprint, endpoints);
             return;
         }
         const isNew = ledger.mergeRecord({ fingerprint, endpoints, until: Number(suspect.untilMilliseconds) });
-        if (isNew && ledger.countDeaths(fingerprint) === deathsUntilRefusal) {
+        if (isNew && ledger.countCrashes(fingerprint) === crashesUntilRefusal) {
             log.log(LogEvents.QuarantineAdded, { fingerprint, endpoints: endpoints.join(","), source });
         }
     }
@@ -215,8 +215,8 @@
         if (peer === undefined) {
             return [];
         }
-        const placements = news.listSince(peer.sentPlacementSequence, { peer: peer.name, isRelay: plan.isRelay(peer) });
-        peer.sentPlacementSequence = news.getSequence();
+        const placements = news.listUpdatesSince(peer.sentPlacementSequence, { peer: peer.name, isRelay: plan.isRelay(peer) });
+        peer.sentPlacementSequence = news.getLatestSequence();
         return placements.map(placement => ({ endpoint: placement.endpointId, parts: [...placement.parts] }));
     }
 
@@ -228,7 +228,7 @@
             const endpoint = directory.findEndpoint(placement.endpoint);
             placement.parts.forEach(part => endpoint?.cache.recordPart(part));
             if (isRelaying) {
-                news.addNews({ endpointId: placement.endpoint, parts: placement.parts }, source);
+                news.addUpdate({ endpointId: placement.endpoint, parts: placement.parts }, source);
             }
         }
     }
@@ -273,7 +273,7 @@
     private listUsage(peer: GatewayPeer | undefined) {
         const { clock, usage, usageLedger, table } = this.dependencies;
         const current = usage.getWindow(clock.getWallTime());
-        const reachableIncarnations = new Set([...table.listHeard(), table.identity].map(describeLife));
+        const reachableIncarnations = new Set([...table.listReachablePeers(), table.identity].map(formatIncarnationKey));
         // With relays, only the holder of the duty lease needs other nodes' counts, and only for windows that have ended.
         const hasRelays = this.dependencies.plan.hasRelays();
         const sendsAllSources = hasRelays && this.isRelayToLeaseHolder(peer);
--- a/src/gossip/gossip.test.ts
+++ b/src/gossip/gossip.test.ts
@@ -58,7 +58,7 @@
 });
 
 test("a node lists its peer as reachable, and the peer records the lease holder without holding the lease itself", async () => {
-    await waitUntil(() => first.node.container.get(Keys.Peers).listHeard().length === 1);
+    await waitUntil(() => first.node.container.get(Keys.Peers).listReachablePeers().length === 1);
     await waitUntil(() => storelessGateway.node.container.get(Keys.Lease).getHolder() === "first");
     assert.equal(storelessGateway.node.container.get(Keys.Lease).getCredentials(), undefined);
 });
--- a/src/gossip/gossipLink.ts
+++ b/src/gossip/gossipClient.ts
@@ -9,7 +9,7 @@
 const exchangeTimeoutMilliseconds = 1_000;
 
 /** Client for the requests that a node sends to its peers. */
-export interface GossipLink {
+export interface GossipClient {
     /** Sends this node's digest; returns the peer's digest, with the state that this node lacks. */
     exchangeDigests(address: NetworkAddress, digest: GatewayDigestInit): Promise<Result<GatewayExchange, Failure>>;
     /** Sends a peer the configuration or endpoints that it lacks. */
@@ -19,11 +19,11 @@
 }
 
 /** Sends gossip requests to peers over Connect RPC. */
-export class ConnectGossipLink implements GossipLink {
+export class ConnectGossipClient implements GossipClient {
     private constructor(private readonly sessions: PeerSessions<typeof GatewayPeerService>) {}
 
-    static create(sessions: PeerSessions<typeof GatewayPeerService>): ConnectGossipLink {
-        return new ConnectGossipLink(sessions);
+    static create(sessions: PeerSessions<typeof GatewayPeerService>): ConnectGossipClient {
+        return new ConnectGossipClient(sessions);
     }
 
     exchangeDigests(address: NetworkAddress, digest: GatewayDigestInit): Promise<Result<GatewayExchange, Failure>> {
--- a/src/gossip/gossipExchange.ts
+++ b/src/gossip/gossipExchange.ts
@@ -3,9 +3,9 @@
 import { LogEvents } from "../common/logEvents.js";
 import { formatAddress, parseAddress } from "../config/sectionReader.js";
 import { NetworkAddress } from "../config/types.js";
-import { GossipLink } from "./gossipLink.js";
+import { GossipClient } from "./gossipClient.js";
 import { PeerTable } from "./peerTable.js";
-import { RelayPlan } from "./relayPlan.js";
+import { RelaySelector } from "./relaySelector.js";
 import { GatewayDigest, GatewayDigestInit, GatewayExchangeResponseInit, GatewayPeer, SharedState, SharedStateInit } from "./types.js";
 
 /** Maximum delay between two attempts to reach a peer that does not respond, in milliseconds. */
@@ -36,9 +36,9 @@
 
     private constructor(
         private readonly table: PeerTable,
-        private readonly client: GossipLink,
+        private readonly client: GossipClient,
         private readonly digestHandler: DigestHandler,
-        private readonly plan: RelayPlan,
+        private readonly plan: RelaySelector,
         private readonly clock: Clock,
         private readonly interval: number,
         private readonly log: EventLog,
@@ -47,9 +47,9 @@
     /** `interval` is the time between two exchanges with one peer, in milliseconds. */
     static create(
         table: PeerTable,
-        client: GossipLink,
+        client: GossipClient,
         digestHandler: DigestHandler,
-        plan: RelayPlan,
+        plan: RelaySelector,
         clock: Clock,
         interval: number,
         log: EventLog,
@@ -65,7 +65,7 @@
     /** Starts an exchange task for each selected peer, and checks the selection once an interval until `stop` is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            if (this.table.listHeard().length === 0) {
+            if (this.table.listReachablePeers().length === 0) {
                 await Promise.all(this.seeds.map(seed => this.exchangeAt(seed)));
             }
             for (const peer of this.listCallees()) {
@@ -85,7 +85,7 @@
 
     /** Exchanges digests immediately with every reachable peer; in a fleet with relays, only with the peers that this node calls. */
     async publishNow(): Promise<void> {
-        const peers = this.plan.hasRelays() ? this.listCallees() : this.table.listHeard();
+        const peers = this.plan.hasRelays() ? this.listCallees() : this.table.listReachablePeers();
         await Promise.all(peers.map(peer => this.exchangeWith(peer)));
     }
 
@@ -118,11 +118,11 @@
         if (address === undefined) {
             return;
         }
-        const wasReachable = this.table.isHeard(peer);
+        const wasReachable = this.table.isReachable(peer);
         const exchanged = await this.client.exchangeDigests(address, this.digestHandler.createDigest(peer));
         if (exchanged.err || exchanged.val.digest === undefined) {
             this.table.recordFailure(peer);
-            if (wasReachable && !this.table.isHeard(peer)) {
+            if (wasReachable && !this.table.isReachable(peer)) {
                 this.log.log(LogEvents.PeerChanged, { peer: peer.name, state: "lost", cause: exchanged.err ? exchanged.val.text : "" });
             }
             return;
--- a/src/gossip/nodeRegistry.ts
+++ b/src/gossip/nodeRegistry.ts
@@ -2,8 +2,8 @@
 import { Clock } from "../common/clock.js";
 import { EventLog } from "../common/eventLog.js";
 import { LogEvents } from "../common/logEvents.js";
-import { ObjectHandler } from "../provider/objectFollower.js";
 import { ObjectStore } from "../provider/objectStore.js";
+import { ObjectChangeHandler } from "../provider/objectWatcher.js";
 import { ObjectList, StoredObject, WriteOutcome } from "../provider/types.js";
 import { PeerIdentity, PeerTable } from "./peerTable.js";
 
@@ -20,7 +20,7 @@
 });
 
 /** Registers this node in the store and discovers the other nodes from their entries there. */
-export class NodeRegistry implements ObjectHandler {
+export class NodeRegistry implements ObjectChangeHandler {
     private readonly stopping = new AbortController();
 
     private constructor(
@@ -38,7 +38,7 @@
         const listed = new Set(list.objects.map(object => object.name.slice(nodePrefix.length)));
         list.objects.forEach(object => this.handleChange(object));
         for (const peer of this.table.listPeers()) {
-            if (!listed.has(peer.name) && !this.table.isHeard(peer)) {
+            if (!listed.has(peer.name) && !this.table.isReachable(peer)) {
                 this.table.removePeer(peer.name);
             }
         }
@@ -55,7 +55,7 @@
 
     handleRemoval(name: string): void {
         const peer = this.table.findPeer(name.slice(nodePrefix.length));
-        if (peer !== undefined && !this.table.isHeard(peer)) {
+        if (peer !== undefined && !this.table.isReachable(peer)) {
             this.table.removePeer(peer.name);
         }
     }
--- a/src/gossip/sharedLoads.ts
+++ b/src/gossip/peerLoadTracker.ts
@@ -17,13 +17,13 @@
 }
 
 /** Adds up the load that other nodes, or groups of them, report for each endpoint, for the choice of the least loaded one. */
-export class SharedLoads {
+export class PeerLoadTracker {
     private readonly reportsBySource = new Map<string, LoadReport>();
 
     private constructor(private readonly directory: EndpointDirectory, private readonly clock: Clock) {}
 
-    static create(directory: EndpointDirectory, clock: Clock): SharedLoads {
-        return new SharedLoads(directory, clock);
+    static create(directory: EndpointDirectory, clock: Clock): PeerLoadTracker {
+        return new PeerLoadTracker(directory, clock);
     }
 
     /** Replaces the load report of a source. */
@@ -54,7 +54,7 @@
     private updateEndpoints(): void {
         const sums = this.computeSums([], () => true);
         for (const endpoint of this.directory.listAll()) {
-            endpoint.sharedLoad = sums.get(endpoint.entry.id) ?? { running: 0, promptTokens: 0 };
+            endpoint.peerLoad = sums.get(endpoint.entry.id) ?? { running: 0, promptTokens: 0 };
         }
     }
 
--- a/src/gossip/peerTable.ts
+++ b/src/gossip/peerTable.ts
@@ -44,7 +44,7 @@
         if (known === undefined) {
             this.peers.set(identity.name, {
                 ...identity,
-                heardAt: -Infinity,
+                lastSeenAt: -Infinity,
                 lastFailedAt: -Infinity,
                 failuresInRow: 0,
                 isLeaving: false,
@@ -85,8 +85,8 @@
         if (peer === undefined || Number(member.incarnation) < peer.incarnation) {
             return false;
         }
-        const wasUnreachable = !this.isHeard(peer);
-        peer.heardAt = this.clock.getMonotonicTime();
+        const wasUnreachable = !this.isReachable(peer);
+        peer.lastSeenAt = this.clock.getMonotonicTime();
         peer.failuresInRow = 0;
         peer.isDirect = true;
         peer.isLeaving = digest.isLeaving;
@@ -110,18 +110,18 @@
         this.addPeer(identity);
         const peer = this.peers.get(identity.name);
         const lastSeenAt = this.clock.getMonotonicTime() - age;
-        if (peer === undefined || identity.incarnation < peer.incarnation || lastSeenAt <= peer.heardAt) {
+        if (peer === undefined || identity.incarnation < peer.incarnation || lastSeenAt <= peer.lastSeenAt) {
             return;
         }
-        peer.heardAt = lastSeenAt;
+        peer.lastSeenAt = lastSeenAt;
         peer.isDirect = false;
         Object.assign(peer, state);
     }
 
     /** Returns whether the last contact with a peer, direct or through a relay, is within the silence limit. */
-    isHeard(peer: GatewayPeer): boolean {
+    isReachable(peer: GatewayPeer): boolean {
         const limit = this.silenceLimit * (peer.isDirect ? 1 : relayedSilenceLimitFactor);
-        return this.clock.getMonotonicTime() - peer.heardAt <= limit;
+        return this.clock.getMonotonicTime() - peer.lastSeenAt <= limit;
     }
 
     /** Returns whether a peer was recently discovered and no exchange with it has failed since its last contact. */
@@ -134,24 +134,24 @@
         return [...this.peers.values()];
     }
 
-    listHeard(): GatewayPeer[] {
-        return this.listPeers().filter(peer => this.isHeard(peer));
+    listReachablePeers(): GatewayPeer[] {
+        return this.listPeers().filter(peer => this.isReachable(peer));
     }
 
     /** Returns how many nodes may be serving, this one included: an unreachable node may still serve requests. */
-    countServing(): number {
+    countServingNodes(): number {
         const now = this.clock.getMonotonicTime();
         const serving = this.listPeers().filter(peer => {
-            const lastEvidenceAt = Math.max(peer.heardAt, this.discoveredAtByPeer.get(peer.name) ?? -Infinity);
+            const lastEvidenceAt = Math.max(peer.lastSeenAt, this.discoveredAtByPeer.get(peer.name) ?? -Infinity);
             return now - lastEvidenceAt <= servingTimeoutMilliseconds;
         });
         const count = serving.length + 1;
-        const isAnyPeerSeen = serving.some(peer => peer.heardAt > -Infinity);
+        const isAnyPeerSeen = serving.some(peer => peer.lastSeenAt > -Infinity);
         return isAnyPeerSeen ? count : Math.max(count, assumedNodeCount);
     }
 }
 
 /** Formats the key of one incarnation of a node, under which its usage counts are kept. */
-export function describeLife(node: Pick<PeerIdentity, "name" | "incarnation">): string {
+export function formatIncarnationKey(node: Pick<PeerIdentity, "name" | "incarnation">): string {
     return `${node.name}/${node.incarnation}`;
 }
--- a/src/gossip/relayPlan.ts
+++ b/src/gossip/relaySelector.ts
@@ -21,11 +21,11 @@
  * each failure domain act as relays for the others. Each node computes the relays from the names in its peer table, so that no
  * agreement protocol is needed. While the tables differ, some updates arrive twice or slightly later.
  */
-export class RelayPlan {
+export class RelaySelector {
     private constructor(private readonly table: PeerTable) {}
 
-    static create(table: PeerTable): RelayPlan {
-        return new RelayPlan(table);
+    static create(table: PeerTable): RelaySelector {
+        return new RelaySelector(table);
     }
 
     /** Returns whether the fleet is too large for direct exchanges between every two nodes. */
@@ -45,7 +45,7 @@
 
     /** Returns whether this node receives changes of the store from a relay, within two exchanges. */
     isFollowingRelay(): boolean {
-        return this.hasRelays() && !this.isRelaying() && this.table.listHeard().some(peer => peer.isDirect && this.isRelay(peer));
+        return this.hasRelays() && !this.isRelaying() && this.table.listReachablePeers().some(peer => peer.isDirect && this.isRelay(peer));
     }
 
     /** Returns the peers that this node calls: its relay, or, as a relay, the other relays and the holder of the duty lease. */
@@ -55,7 +55,7 @@
         if (!this.hasRelays()) {
             return peers.filter(peer => this.isCallerOf(peer));
         }
-        if (this.table.listHeard().length === 0) {
+        if (this.table.listReachablePeers().length === 0) {
             return this.listUnreachablePeers(isolatedNodeCallLimit);
         }
         const domainRelays = this.listRelays(identity.failureDomain);
@@ -70,12 +70,12 @@
 
     /** Returns whether this node calls the peer: the node whose name sorts first does, and either one while the other is unreachable. */
     private isCallerOf(peer: GatewayPeer): boolean {
-        return this.table.identity.name < peer.name || !this.table.isHeard(peer);
+        return this.table.identity.name < peer.name || !this.table.isReachable(peer);
     }
 
     /** Returns the unreachable peers whose last failed call is the oldest, so that a partitioned fleet reconnects. */
     private listUnreachablePeers(count: number): GatewayPeer[] {
-        const unreachable = this.table.listPeers().filter(peer => !this.table.isHeard(peer));
+        const unreachable = this.table.listPeers().filter(peer => !this.table.isReachable(peer));
         return unreachable.sort((left, right) => compareNumbers(left.lastFailedAt, right.lastFailedAt)).slice(0, count);
     }
 
@@ -93,7 +93,7 @@
     private listCandidates(): RelayCandidate[] {
         const { identity } = this.table;
         const peers = this.table.listPeers().filter(peer =>
-            !peer.isLeaving && (this.table.isHeard(peer) || this.table.isRecentlyDiscovered(peer))
+            !peer.isLeaving && (this.table.isReachable(peer) || this.table.isRecentlyDiscovered(peer))
         );
         return [identity, ...peers].map(({ name, failureDomain }) => ({ name, failureDomain }));
     }
--- a/src/gossip/relays.test.ts
+++ b/src/gossip/relays.test.ts
@@ -3,14 +3,14 @@
 import { test } from "node:test";
 import { EndpointDirectory } from "../fleet/endpointDirectory.js";
 import { GatewayDigestSchema } from "../generated/corianderward/gateway/v1/gateway_pb.js";
-import { WorkMeter } from "../placement/workMeter.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
 import { SharedRateLimiter } from "../quotas/sharedRateLimiter.js";
 import { createEndpointEntry } from "../testing/gatewayParts.js";
 import { VirtualClock } from "../testing/virtualClock.js";
-import { FleetSums } from "./fleetSums.js";
+import { FleetSummaryAggregator } from "./fleetSummaryAggregator.js";
+import { PeerLoadTracker } from "./peerLoadTracker.js";
 import { PeerTable } from "./peerTable.js";
-import { RelayPlan } from "./relayPlan.js";
-import { SharedLoads } from "./sharedLoads.js";
+import { RelaySelector } from "./relaySelector.js";
 import { GatewayDigest, GatewayPeer } from "./types.js";
 
 const intervalMilliseconds = 500;
@@ -20,23 +20,23 @@
 /** Node that aggregates loads and quota demand; the test runs its exchanges. */
 class GossipTestNode {
     readonly table: PeerTable;
-    readonly plan: RelayPlan;
+    readonly plan: RelaySelector;
     readonly caps: SharedRateLimiter;
-    readonly loads: SharedLoads;
+    readonly loads: PeerLoadTracker;
     readonly directory: EndpointDirectory;
     isUp = true;
     exchangeCount = 0;
-    private readonly sums: FleetSums;
+    private readonly sums: FleetSummaryAggregator;
 
     constructor(readonly name: string, readonly failureDomain: string, clock: VirtualClock) {
         this.table = PeerTable.create({ name, failureDomain, address: `${name}:1`, incarnation: 1 }, clock, silenceMilliseconds);
-        this.plan = RelayPlan.create(this.table);
+        this.plan = RelaySelector.create(this.table);
         this.caps = SharedRateLimiter.create(clock);
         this.directory = EndpointDirectory.create(clock);
         this.directory.applyEntry({ entry: createEndpointEntry({ id: "e" }), revision: 1 }, "test");
-        this.loads = SharedLoads.create(this.directory, clock);
-        const work = WorkMeter.create(clock, { promptTokensPerMillisecond: 48, outputToken: 1 });
-        this.sums = FleetSums.create({ clock, table: this.table, plan: this.plan, caps: this.caps, work, loads: this.loads });
+        this.loads = PeerLoadTracker.create(this.directory, clock);
+        const work = ServiceWorkTracker.create(clock, { promptTokensPerMillisecond: 48, outputToken: 1 });
+        this.sums = FleetSummaryAggregator.create({ clock, table: this.table, plan: this.plan, caps: this.caps, work, loads: this.loads });
         this.getEndpoint().running = 1;
     }
 
@@ -106,9 +106,13 @@
 function checkSums(fleet: GossipTestFleet): void {
     const upCount = fleet.listUp().length;
     for (const node of fleet.listUp()) {
-        const sharedRequests = node.getEndpoint().sharedLoad.running;
+        const sharedRequests = node.getEndpoint().peerLoad.running;
         assert.equal(sharedRequests, upCount - 1, `${node.name} counts ${sharedRequests} of ${upCount - 1} requests of other nodes`);
-        assert.equal(Math.round(node.table.listHeard().length), upCount - 1, `${node.name} reaches ${node.table.listHeard().length} nodes`);
+        assert.equal(
+            Math.round(node.table.listReachablePeers().length),
+            upCount - 1,
+            `${node.name} reaches ${node.table.listReachablePeers().length} nodes`,
+        );
     }
 }
 
--- a/src/gossip/types.ts
+++ b/src/gossip/types.ts
@@ -35,7 +35,7 @@
     /** Start time of its process, in Unix milliseconds; 0 while unknown. */
     incarnation: number;
     /** Time of the last contact with this node or with a relay; -Infinity before the first. */
-    heardAt: number;
+    lastSeenAt: number;
     /** Whether the last contact was with this node and not with a relay. */
     isDirect: boolean;
     /** Time of the last failed exchange; -Infinity before the first. */
--- a/src/gossip/watchPacing.test.ts
+++ b/src/gossip/watchScheduler.test.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from "../testing/virtualClock.js";
 import { PeerTable } from "./peerTable.js";
 import { GatewayDigest } from "./types.js";
-import { WatchPacing } from "./watchPacing.js";
+import { WatchScheduler } from "./watchScheduler.js";
 
 function createTable(name: string, names: readonly string[], clock: VirtualClock): PeerTable {
     const table = PeerTable.create({ name, failureDomain: "x", address: "127.0.0.1:1", incarnation: 1 }, clock, 60_000);
@@ -18,7 +18,7 @@
     for (const count of [2, 9, 74]) {
         const clock = VirtualClock.create();
         const names = Array.from({ length: count }, (_unused, index) => `node-${String(index).padStart(3, "0")}`);
-        const pacings = names.map(name => WatchPacing.create(createTable(name, names, clock), clock));
+        const pacings = names.map(name => WatchScheduler.create(createTable(name, names, clock), clock));
         for (let time = 0; time < 30_000; time += 137) {
             await clock.runUntil(time);
             const earliestEnd = Math.min(...pacings.map(pacing => pacing.computeWait()));
@@ -30,5 +30,5 @@
 test("a node without reachable peers uses watches of at most 1.3 seconds", () => {
     const clock = VirtualClock.create();
     const table = PeerTable.create({ name: "a", failureDomain: "x", address: "127.0.0.1:1", incarnation: 1 }, clock, 2_000);
-    assert.equal(WatchPacing.create(table, clock).computeWait() <= 1_300, true);
+    assert.equal(WatchScheduler.create(table, clock).computeWait() <= 1_300, true);
 });
--- a/src/gossip/watchPacing.ts
+++ b/src/gossip/watchScheduler.ts
@@ -17,17 +17,17 @@
  * its history, on all nodes at once; the node whose watch ends next detects the changes and sends them to its peers. The
  * number of store requests does not grow with the number of nodes.
  */
-export class WatchPacing {
+export class WatchScheduler {
     private constructor(private readonly table: PeerTable, private readonly clock: Clock) {}
 
-    static create(table: PeerTable, clock: Clock): WatchPacing {
-        return new WatchPacing(table, clock);
+    static create(table: PeerTable, clock: Clock): WatchScheduler {
+        return new WatchScheduler(table, clock);
     }
 
     /** Returns the maximum duration of a watch that starts now, in milliseconds: the time until this node's next turn. */
     computeWait(): number {
-        const names = this.table.listHeard().map(peer => peer.name);
-        if (names.length + 1 < this.table.countServing() * minimumReachableShare) {
+        const names = this.table.listReachablePeers().map(peer => peer.name);
+        if (names.length + 1 < this.table.countServingNodes() * minimumReachableShare) {
             return isolatedNodeWaitMilliseconds;
         }
         const precedingNodes = names.filter(name => name < this.table.identity.name).length;
--- a/src/keys/certificates.ts
+++ b/src/keys/certificates.ts
@@ -10,7 +10,7 @@
 const clockSkewToleranceMilliseconds = 300_000;
 
 /** A certificate and its private key, in PEM format. */
-export interface KeyPairFiles {
+export interface CertificateKeyPair {
     readonly certificate: string;
     readonly key: string;
 }
@@ -25,7 +25,7 @@
 }
 
 /** Creates the certificate authority of a site, valid for `days` from `now` (Unix milliseconds). */
-export function createAuthority(name: string, days: number, now: number): KeyPairFiles {
+export function createAuthority(name: string, days: number, now: number): CertificateKeyPair {
     const keys = createKeys();
     const certificate = createCertificate(keys, name, days, now);
     certificate.setIssuer(certificate.subject.attributes);
@@ -38,7 +38,7 @@
 }
 
 /** Creates a node certificate signed by the authority, valid for `days` from `now` (Unix milliseconds). */
-export function createNodeCertificate(authority: KeyPairFiles, node: string, days: number, now: number): KeyPairFiles {
+export function createNodeCertificate(authority: CertificateKeyPair, node: string, days: number, now: number): CertificateKeyPair {
     const keys = createKeys();
     const issuer = forge.pki.certificateFromPem(authority.certificate);
     const certificate = createCertificate(keys, node, days, now);
--- a/src/logs/logReader.ts
+++ b/src/logs/logReader.ts
@@ -11,7 +11,7 @@
 export type LogLine = z.infer<typeof logLineSchema>;
 
 /** Result of reading several log files: the parsed lines ordered by timestamp, and the number of lines that are not log lines. */
-export interface ReadLogs {
+export interface ParsedLogs {
     readonly lines: readonly LogLine[];
     readonly unreadable: number;
 }
@@ -30,7 +30,7 @@
 ].map(kind => kind.name);
 
 /** Parses the contents of log files. Text before the JSON object of a line, such as a log collector's time and host, is ignored. */
-export function readLogLines(texts: readonly string[]): ReadLogs {
+export function readLogLines(texts: readonly string[]): ParsedLogs {
     const lines: LogLine[] = [];
     let unreadable = 0;
     for (const text of texts.flatMap(content => content.split("\n")).filter(line => line.trim() !== "")) {
--- a/src/node/bindings/commonBindings.ts
+++ b/src/node/bindings/commonBindings.ts
@@ -10,8 +10,8 @@
 import { ExchangeLoop } from "../../peers/exchangeLoop.js";
 import { MemberDirectory } from "../../peers/memberDirectory.js";
 import { TlsMaterial } from "../../peers/tlsMaterial.js";
-import { HttpCloud } from "../../provider/cloud.js";
-import { HttpHostList } from "../../provider/hostList.js";
+import { HttpCloudClient } from "../../provider/cloudClient.js";
+import { HttpHostListClient } from "../../provider/hostListClient.js";
 import { HttpObjectStore } from "../../provider/httpObjectStore.js";
 import { HttpWeightStore } from "../../provider/weightStore.js";
 import { Keys } from "../keys.js";
@@ -38,12 +38,12 @@
             context.get(Keys.Metrics),
         )
     );
-    container.bind(Keys.HostList).toDynamicValue(() => HttpHostList.create(settings.hostListUrl, timeout));
+    container.bind(Keys.HostList).toDynamicValue(() => HttpHostListClient.create(settings.hostListUrl, timeout));
     container.bind(Keys.WeightStore).toDynamicValue(() =>
         settings.weightStoreUrl === undefined ? undefined : HttpWeightStore.create(settings.weightStoreUrl, timeout)
     );
     container.bind(Keys.Cloud).toDynamicValue(
-        () => (settings.cloudUrl === undefined ? undefined : HttpCloud.create(settings.cloudUrl, timeout)),
+        () => (settings.cloudUrl === undefined ? undefined : HttpCloudClient.create(settings.cloudUrl, timeout)),
     );
 }
 
@@ -74,7 +74,7 @@
             ledger: context.get(Keys.Ledger),
             limiter: context.get(Keys.Limiter),
             store: context.get(Keys.ObjectStore),
-            moves: context.get(Keys.Moves),
+            moves: context.get(Keys.MoveController),
         })
     );
     container.bind(Keys.Exchange).toDynamicValue(context =>
--- a/src/node/bindings/controlBindings.ts
+++ b/src/node/bindings/controlBindings.ts
@@ -3,14 +3,14 @@
 import { NodeSettings } from "../../config/types.js";
 import { ConfigurationConsumer } from "../../control/commands/configurationConsumer.js";
 import { DomainDuty } from "../../control/commands/domainDuty.js";
-import { HostListKeeper } from "../../control/commands/hostListKeeper.js";
-import { LeaseKeeper } from "../../control/commands/leaseKeeper.js";
+import { HostListSynchronizer } from "../../control/commands/hostListSynchronizer.js";
+import { LeaseManager } from "../../control/commands/leaseManager.js";
 import { OrderSender } from "../../control/commands/orderSender.js";
-import { QuarantineKeeper } from "../../control/commands/quarantineKeeper.js";
-import { SharedObjectKeeper } from "../../control/commands/sharedObjectKeeper.js";
+import { QuarantineReplicator } from "../../control/commands/quarantineReplicator.js";
+import { SharedObjectReplicator } from "../../control/commands/sharedObjectReplicator.js";
 import { ClockMonitor } from "../../control/moves/clockMonitor.js";
+import { MoveController } from "../../control/moves/moveController.js";
 import { MoveDuty } from "../../control/moves/moveDuty.js";
-import { MoveKeeper } from "../../control/moves/moveKeeper.js";
 import { MoveOperations } from "../../control/moves/moveOperations.js";
 import { SharedObjects } from "../../control/sharedObjects.js";
 import { UrgentNotifier } from "../../peers/types.js";
@@ -21,8 +21,8 @@
 
 /** Binds shared objects, version moves, leases and duties. */
 export function addControlBindings(container: Container, settings: NodeSettings): void {
-    container.bind(Keys.HostListKeeper).toDynamicValue(context =>
-        HostListKeeper.create(
+    container.bind(Keys.HostListSynchronizer).toDynamicValue(context =>
+        HostListSynchronizer.create(
             context.get(Keys.HostList),
             context.get(Keys.Cloud),
             context.get(Keys.Registry),
@@ -33,13 +33,13 @@
             settings.timing.hostListInterval,
         )
     );
-    container.bind(Keys.SharedObjectKeeper).toDynamicValue(context =>
-        SharedObjectKeeper.create(
+    container.bind(Keys.SharedObjectReplicator).toDynamicValue(context =>
+        SharedObjectReplicator.create(
             context.get(Keys.ObjectStore),
             context.get(Keys.Objects),
             context.get(Keys.Directory),
             context.get(Keys.PeerLink),
-            context.get(Keys.HostListKeeper),
+            context.get(Keys.HostListSynchronizer),
             context.get(Keys.Exchange),
             context.get(Keys.Clock),
             context.get(Keys.Metrics),
@@ -55,7 +55,7 @@
         const clock = context.get(Keys.Clock);
         const objects = SharedObjects.create(() => clock.getMonotonicTime());
         objects.addConsumer(context.get(Keys.ConfigurationConsumer));
-        objects.addConsumer(context.get(Keys.Moves));
+        objects.addConsumer(context.get(Keys.MoveController));
         objects.addConsumer(context.get(Keys.QuarantineReplicator));
         return objects;
     });
@@ -63,12 +63,12 @@
         ConfigurationConsumer.create(context.get(Keys.Configuration), context.get(Keys.Metrics))
     );
     container.bind(Keys.QuarantineReplicator).toDynamicValue(context =>
-        QuarantineKeeper.create(context.get(Keys.ObjectStore), context.get(Keys.Ledger), context.get(Keys.Clock))
+        QuarantineReplicator.create(context.get(Keys.ObjectStore), context.get(Keys.Ledger), context.get(Keys.Clock))
     );
     container.bind(Keys.ClockMonitor).toDynamicValue(context => ClockMonitor.create(context.get(Keys.Clock)));
-    container.bind(Keys.Moves).toDynamicValue(context => {
+    container.bind(Keys.MoveController).toDynamicValue(context => {
         const notifier: UrgentNotifier = { sendUrgentDigest: () => context.get(Keys.Exchange).sendUrgentDigest() };
-        return MoveKeeper.create(
+        return MoveController.create(
             context.get(Keys.Directory).identity,
             context.get(Keys.Clock),
             context.get(Keys.Random),
@@ -81,15 +81,15 @@
         MoveDuty.create({
             store: context.get(Keys.ObjectStore),
             objects: context.get(Keys.Objects),
-            keeper: context.get(Keys.Moves),
+            keeper: context.get(Keys.MoveController),
             lease: context.get(Keys.FleetLease),
             configuration: context.get(Keys.Configuration),
             registry: context.get(Keys.Registry),
             directory: context.get(Keys.Directory),
-            clocks: context.get(Keys.ClockMonitor),
+            clockMonitor: context.get(Keys.ClockMonitor),
             clock: context.get(Keys.Clock),
             logger: context.get(Keys.Logger),
-            writeSettleTime: settings.timing.platformTimeout * writeSettleTimeoutMultiple,
+            writeOutcomeDelay: settings.timing.platformTimeout * writeSettleTimeoutMultiple,
         })
     );
     container.bind(Keys.MoveOperations).toDynamicValue(context =>
@@ -98,20 +98,20 @@
             context.get(Keys.Objects),
             context.get(Keys.Configuration),
             context.get(Keys.Clock),
-            context.get(Keys.MoveDuty).getMargin(),
+            context.get(Keys.MoveDuty).getDeadlineMargin(),
         )
     );
 }
 
-function createLease(context: ResolutionContext, settings: NodeSettings, name: string): LeaseKeeper {
-    return LeaseKeeper.create(
+function createLease(context: ResolutionContext, settings: NodeSettings, name: string): LeaseManager {
+    return LeaseManager.create(
         context.get(Keys.ObjectStore),
         context.get(Keys.Clock),
         context.get(Keys.Directory).identity,
         leasePrefix + name,
         settings.timing.leaseTerm,
         {
-            recordTaken: (lease, fencing) => {
+            recordAcquisition: (lease, fencing) => {
                 context.get(Keys.Logger).info("lease acquired", { lease, fencing });
                 context.get(Keys.Metrics).leaseHeld.set({ lease }, 1);
             },
@@ -134,7 +134,7 @@
             store: context.get(Keys.ObjectStore),
             weightStore: context.get(Keys.WeightStore),
             configuration: context.get(Keys.Configuration),
-            moves: context.get(Keys.Moves),
+            moves: context.get(Keys.MoveController),
             registry: context.get(Keys.Registry),
             directory: context.get(Keys.Directory),
             drafts: context.get(Keys.Drafts),
--- a/src/node/bindings/plainDeployment.ts
+++ b/src/node/bindings/defaultDeployment.ts
@@ -10,17 +10,23 @@
 import { StoredObject, WriteFailure } from "../../provider/types.js";
 import { ConfigurationDecoder } from "../../routes/configurationFollower.js";
 import { RouteConfiguration, routeConfigurationSchema } from "../../routes/types.js";
-import { DecodedMove, MoveAccount, moveAccountSchema, MoveAccountStore, VersionMoveDecoder } from "../../versions/types.js";
+import {
+    DecodedMove,
+    VersionMoveDecoder,
+    VersionMoveStatus,
+    versionMoveStatusSchema,
+    VersionMoveStatusStore,
+} from "../../versions/types.js";
 import { GatewayKeys as Keys } from "../gatewayKeys.js";
 
 /** Decodes route configurations in the default format. */
-export class PlainConfigurationDecoder implements ConfigurationDecoder {
+export class DefaultConfigurationDecoder implements ConfigurationDecoder {
     readonly objectName = routesObjectName;
 
     private constructor() {}
 
-    static create(): PlainConfigurationDecoder {
-        return new PlainConfigurationDecoder();
+    static create(): DefaultConfigurationDecoder {
+        return new DefaultConfigurationDecoder();
     }
 
     decodeConfiguration(value: unknown): Result<RouteConfiguration, string[]> {
@@ -30,13 +36,13 @@
 }
 
 /** Decodes endpoint entries in the default format. */
-export class PlainEndpointDecoder implements EndpointDecoder {
+export class DefaultEndpointDecoder implements EndpointDecoder {
     readonly prefix = "endpoints/";
 
     private constructor() {}
 
-    static create(): PlainEndpointDecoder {
-        return new PlainEndpointDecoder();
+    static create(): DefaultEndpointDecoder {
+        return new DefaultEndpointDecoder();
     }
 
     decodeEndpoint(object: StoredObject): Result<EndpointEntry, string> {
@@ -56,17 +62,17 @@
     target: z.string().min(1),
     /** In milliseconds. */
     duration: z.number().positive(),
-    account: moveAccountSchema.optional(),
+    account: versionMoveStatusSchema.optional(),
 });
 
 /** Decodes version move orders in the default format, which stores the move's account in the same object as the order. */
-export class PlainVersionMoves implements VersionMoveDecoder, MoveAccountStore {
+export class DefaultVersionMoveStore implements VersionMoveDecoder, VersionMoveStatusStore {
     readonly prefix = "version-moves/";
 
     private constructor(private readonly store: ObjectStore) {}
 
-    static create(store: ObjectStore): PlainVersionMoves {
-        return new PlainVersionMoves(store);
+    static create(store: ObjectStore): DefaultVersionMoveStore {
+        return new DefaultVersionMoveStore(store);
     }
 
     decodeMove(object: StoredObject): Result<DecodedMove, string> {
@@ -78,7 +84,7 @@
         return Ok({ order, account });
     }
 
-    writeAccount(object: StoredObject, account: MoveAccount): Promise<Result<number, WriteFailure>> {
+    writeStatus(object: StoredObject, account: VersionMoveStatus): Promise<Result<number, WriteFailure>> {
         const value = { ...defaultMoveSchema.parse(object.value), account };
         return this.store.replaceObject(object.name, value, object.revision);
     }
@@ -87,11 +93,11 @@
 /** Binds the default object formats and call protocol on `store`, without a duty API. */
 export function addDefaultDeploymentBindings(container: Container, store: ObjectStore): void {
     container.bind(Keys.Store).toConstantValue(store);
-    const moves = PlainVersionMoves.create(store);
+    const moves = DefaultVersionMoveStore.create(store);
     container.bind(Keys.VersionMoveDecoder).toConstantValue(moves);
     container.bind(Keys.MoveAccounts).toConstantValue(moves);
     container.bind(Keys.DutyApi).toConstantValue(undefined);
     container.bind(Keys.Protocol).toConstantValue(defaultCallProtocol);
-    container.bind(Keys.ConfigurationDecoder).toDynamicValue(() => PlainConfigurationDecoder.create());
-    container.bind(Keys.EndpointDecoder).toDynamicValue(() => PlainEndpointDecoder.create());
+    container.bind(Keys.ConfigurationDecoder).toDynamicValue(() => DefaultConfigurationDecoder.create());
+    container.bind(Keys.EndpointDecoder).toDynamicValue(() => DefaultEndpointDecoder.create());
 }
--- a/src/node/bindings/gatewayBindings.ts
+++ b/src/node/bindings/gatewayBindings.ts
@@ -8,21 +8,21 @@
 import { EndpointFollower } from "../../fleet/endpointFollower.js";
 import { CallForwarder } from "../../gateway/callForwarder.js";
 import { CallReader } from "../../gateway/callReader.js";
-import { CrashWatch } from "../../gateway/crashWatch.js";
-import { EndpointConnections } from "../../gateway/endpointConnections.js";
+import { EndpointConnectionPool } from "../../gateway/endpointConnectionPool.js";
 import { HeaderForwarder } from "../../gateway/forwardedHeaders.js";
 import { GatewayMetrics } from "../../gateway/gatewayMetrics.js";
 import { GatewayServer } from "../../gateway/gatewayServer.js";
+import { PoisonRequestDetector } from "../../gateway/poisonRequestDetector.js";
 import { nodePrefix, NodeRegistry } from "../../gossip/nodeRegistry.js";
 import { PeerTable } from "../../gossip/peerTable.js";
-import { WatchPacing } from "../../gossip/watchPacing.js";
-import { CallPlacement } from "../../placement/callPlacement.js";
+import { WatchScheduler } from "../../gossip/watchScheduler.js";
+import { CallPlacementPolicy } from "../../placement/callPlacementPolicy.js";
 import { EndpointChooser } from "../../placement/endpointChooser.js";
-import { EnginePlacement } from "../../placement/enginePlacement.js";
-import { PlacementNews } from "../../placement/placementNews.js";
-import { WorkMeter } from "../../placement/workMeter.js";
-import { groupMilliseconds, ObjectFollower } from "../../provider/objectFollower.js";
-import { RetryAllowance } from "../../quotas/retryAllowance.js";
+import { EnginePlacementPolicy } from "../../placement/enginePlacementPolicy.js";
+import { PlacementUpdates } from "../../placement/placementUpdates.js";
+import { ServiceWorkTracker } from "../../placement/serviceWorkTracker.js";
+import { batchPauseMilliseconds, ObjectWatcher } from "../../provider/objectWatcher.js";
+import { FleetRetryBudget } from "../../quotas/fleetRetryBudget.js";
 import { SharedRateLimiter } from "../../quotas/sharedRateLimiter.js";
 import { QuarantineLedger } from "../../requests/quarantineLedger.js";
 import { ConfigurationFollower } from "../../routes/configurationFollower.js";
@@ -68,7 +68,7 @@
     container.bind(Keys.Directory).toDynamicValue(context => {
         const directory = EndpointDirectory.create(context.get(Keys.Clock));
         const configuration = context.get(Keys.Configuration);
-        directory.setMemorySource(service => configuration.getTable()?.findService(service)?.engine?.memoryTokens ?? 0);
+        directory.setMemoryTokensSource(service => configuration.getTable()?.findService(service)?.engine?.memoryTokens ?? 0);
         return directory;
     });
     container.bind(Keys.EndpointFollower).toDynamicValue(context =>
@@ -89,7 +89,7 @@
         };
         return PeerTable.create(identity, clock, settings.timing.peerSilence);
     });
-    container.bind(Keys.Pacing).toDynamicValue(context => WatchPacing.create(context.get(Keys.Peers), context.get(Keys.Clock)));
+    container.bind(Keys.WatchPacing).toDynamicValue(context => WatchScheduler.create(context.get(Keys.Peers), context.get(Keys.Clock)));
     container.bind(Keys.Registry).toDynamicValue(context =>
         NodeRegistry.create(context.get(Keys.Store), context.get(Keys.Peers), context.get(Keys.Clock), context.get(Keys.Log))
     );
@@ -110,28 +110,28 @@
         const log = context.get(Keys.Log);
         const configurationPrefix = `${context.get(Keys.ConfigurationDecoder).objectName.split("/")[0]}/`;
         const endpointFollower = context.get(Keys.EndpointFollower);
-        const endpoints = ObjectFollower.create(store, context.get(Keys.EndpointDecoder).prefix, endpointFollower, clock, log);
-        endpointFollower.setOutageSource(() => endpoints.getRegainedAt());
+        const endpoints = ObjectWatcher.create(store, context.get(Keys.EndpointDecoder).prefix, endpointFollower, clock, log);
+        endpointFollower.setOutageSource(() => endpoints.getOutageEndedAt());
         const plan = context.get(Keys.RelayPlan);
-        endpoints.setGroupPause(() => plan.isFollowingRelay() ? relayedEndpointPollMilliseconds : groupMilliseconds);
-        const nodes = ObjectFollower.create(store, nodePrefix, context.get(Keys.Registry), clock, log);
-        nodes.setGroupPause(() => nodeEntryPollMilliseconds);
+        endpoints.setBatchPauseSource(() => plan.isFollowingRelay() ? relayedEndpointPollMilliseconds : batchPauseMilliseconds);
+        const nodes = ObjectWatcher.create(store, nodePrefix, context.get(Keys.Registry), clock, log);
+        nodes.setBatchPauseSource(() => nodeEntryPollMilliseconds);
         return {
-            configuration: ObjectFollower.create(store, configurationPrefix, context.get(Keys.ConfigurationFollower), clock, log),
+            configuration: ObjectWatcher.create(store, configurationPrefix, context.get(Keys.ConfigurationFollower), clock, log),
             endpoints,
             nodes,
-            versions: ObjectFollower.create(store, context.get(Keys.VersionMoveDecoder).prefix, context.get(Keys.Versions), clock, log),
+            versions: ObjectWatcher.create(store, context.get(Keys.VersionMoveDecoder).prefix, context.get(Keys.Versions), clock, log),
         };
     });
 }
 
 function addPlacementBindings(container: Container, settings: GatewaySettings): void {
-    container.bind(Keys.PlacementUpdates).toDynamicValue(() => PlacementNews.create());
-    container.bind(Keys.ServiceWorkTracker).toDynamicValue(context => WorkMeter.create(context.get(Keys.Clock), settings.engines));
-    container.bind(Keys.EnginePlacement).toDynamicValue(() => EnginePlacement.create(settings.engines, settings.failureDomain));
+    container.bind(Keys.PlacementUpdates).toDynamicValue(() => PlacementUpdates.create());
+    container.bind(Keys.ServiceWorkTracker).toDynamicValue(context => ServiceWorkTracker.create(context.get(Keys.Clock), settings.engines));
+    container.bind(Keys.EnginePlacement).toDynamicValue(() => EnginePlacementPolicy.create(settings.engines, settings.failureDomain));
     container.bind(Keys.CallPlacement).toDynamicValue(context => {
         const clock = context.get(Keys.Clock);
-        return CallPlacement.create(settings.calls, settings.failureDomain, () => clock.getMonotonicTime());
+        return CallPlacementPolicy.create(settings.calls, settings.failureDomain, () => clock.getMonotonicTime());
     });
     container.bind(Keys.Chooser).toDynamicValue(context => {
         const configuration = context.get(Keys.Configuration);
@@ -143,7 +143,7 @@
             context.get(Keys.Clock),
             context.get(Keys.Random),
             service => (configuration.getTable()?.findService(service)?.engine === undefined ? calls : engines),
-            service => Math.floor((configuration.getTable()?.findService(service)?.connectionLimit ?? 1) / peers.countServing()),
+            service => Math.floor((configuration.getTable()?.findService(service)?.connectionLimit ?? 1) / peers.countServingNodes()),
             context.get(Keys.VersionTraffic),
         );
     });
@@ -151,12 +151,12 @@
 
 function addDataPathBindings(container: Container, settings: GatewaySettings): void {
     container.bind(Keys.SharedRateLimiter).toDynamicValue(context => SharedRateLimiter.create(context.get(Keys.Clock), settings.caps));
-    container.bind(Keys.FleetRetryBudget).toDynamicValue(context => RetryAllowance.create(context.get(Keys.Clock), settings.retries));
+    container.bind(Keys.FleetRetryBudget).toDynamicValue(context => FleetRetryBudget.create(context.get(Keys.Clock), settings.retries));
     container.bind(Keys.Ledger).toDynamicValue(context => QuarantineLedger.create(context.get(Keys.Clock), settings.timing.quarantineTerm));
     container.bind(Keys.PoisonRequestDetector).toDynamicValue(context =>
-        CrashWatch.create(context.get(Keys.Ledger), context.get(Keys.Clock), context.get(Keys.Log))
+        PoisonRequestDetector.create(context.get(Keys.Ledger), context.get(Keys.Clock), context.get(Keys.Log))
     );
-    container.bind(Keys.Connections).toDynamicValue(() => EndpointConnections.create());
+    container.bind(Keys.Connections).toDynamicValue(() => EndpointConnectionPool.create());
     container.bind(Keys.Forwarder).toDynamicValue(context => {
         const protocol = context.get(Keys.Protocol);
         return CallForwarder.create({
@@ -168,11 +168,11 @@
             directory: context.get(Keys.Directory),
             callPlacement: context.get(Keys.CallPlacement),
             chooser: context.get(Keys.Chooser),
-            allowance: context.get(Keys.FleetRetryBudget),
+            retryBudget: context.get(Keys.FleetRetryBudget),
             usage: context.get(Keys.Usage),
             ledger: context.get(Keys.Ledger),
-            crashes: context.get(Keys.PoisonRequestDetector),
-            news: context.get(Keys.PlacementUpdates),
+            poisonRequestDetector: context.get(Keys.PoisonRequestDetector),
+            placementUpdates: context.get(Keys.PlacementUpdates),
             work: context.get(Keys.ServiceWorkTracker),
             versions: context.get(Keys.Versions),
             timing: settings.timing,
--- a/src/node/bindings/gatewayPeerBindings.ts
+++ b/src/node/bindings/gatewayPeerBindings.ts
@@ -1,12 +1,12 @@
 import { Container } from "inversify";
 import { GatewaySettings } from "../../config/gatewaySettings.js";
 import { GatewayPeerService } from "../../generated/corianderward/gateway/v1/gateway_pb.js";
-import { FleetSums } from "../../gossip/fleetSums.js";
-import { GatewayContent } from "../../gossip/gatewayContent.js";
+import { FleetSummaryAggregator } from "../../gossip/fleetSummaryAggregator.js";
+import { GatewayDigestHandler } from "../../gossip/gatewayDigestHandler.js";
+import { ConnectGossipClient } from "../../gossip/gossipClient.js";
 import { GossipExchange } from "../../gossip/gossipExchange.js";
-import { ConnectGossipLink } from "../../gossip/gossipLink.js";
-import { RelayPlan } from "../../gossip/relayPlan.js";
-import { SharedLoads } from "../../gossip/sharedLoads.js";
+import { PeerLoadTracker } from "../../gossip/peerLoadTracker.js";
+import { RelaySelector } from "../../gossip/relaySelector.js";
 import { PeerSessions } from "../../peers/peerSessions.js";
 import { GatewayKeys as Keys } from "../gatewayKeys.js";
 
@@ -14,15 +14,17 @@
 export function addPeerBindings(container: Container, settings: GatewaySettings): void {
     container.bind(Keys.GossipLink).toDynamicValue(context => {
         const metrics = context.get(Keys.Metrics);
-        return ConnectGossipLink.create(PeerSessions.create(GatewayPeerService, undefined, {
-            recordSilence: () => metrics.peerExchanges.inc({ outcome: "silence" }),
+        return ConnectGossipClient.create(PeerSessions.create(GatewayPeerService, undefined, {
+            recordUnresponsivePeer: () => metrics.peerExchanges.inc({ outcome: "silence" }),
             recordSessionError: () => metrics.peerExchanges.inc({ outcome: "session-error" }),
         }));
     });
-    container.bind(Keys.RelayPlan).toDynamicValue(context => RelayPlan.create(context.get(Keys.Peers)));
-    container.bind(Keys.SharedLoads).toDynamicValue(context => SharedLoads.create(context.get(Keys.Directory), context.get(Keys.Clock)));
+    container.bind(Keys.RelayPlan).toDynamicValue(context => RelaySelector.create(context.get(Keys.Peers)));
+    container.bind(Keys.SharedLoads).toDynamicValue(context =>
+        PeerLoadTracker.create(context.get(Keys.Directory), context.get(Keys.Clock))
+    );
     container.bind(Keys.FleetSums).toDynamicValue(context =>
-        FleetSums.create({
+        FleetSummaryAggregator.create({
             clock: context.get(Keys.Clock),
             table: context.get(Keys.Peers),
             plan: context.get(Keys.RelayPlan),
@@ -34,7 +36,7 @@
     container.bind(Keys.Gossip).toDynamicValue(context => {
         const watches = context.get(Keys.Watches);
         const shutdownState = context.get(Keys.ShutdownState);
-        const content = GatewayContent.create({
+        const content = GatewayDigestHandler.create({
             clock: context.get(Keys.Clock),
             log: context.get(Keys.Log),
             table: context.get(Keys.Peers),
--- a/src/node/bindings/listenerBindings.ts
+++ b/src/node/bindings/listenerBindings.ts
@@ -11,14 +11,16 @@
 
 /** Binds the servers for callers, peers and operators, and the gate that controls them. */
 export function addListenerBindings(container: Container, settings: NodeSettings): void {
-    container.bind(Keys.Gate).toDynamicValue(context => NodeGate.create(context.get(Keys.Configuration), context.get(Keys.HostListKeeper)));
+    container.bind(Keys.Gate).toDynamicValue(context =>
+        NodeGate.create(context.get(Keys.Configuration), context.get(Keys.HostListSynchronizer))
+    );
     container.bind(Keys.PeerHandler).toDynamicValue(context =>
         NodePeerHandler.create({
             clock: context.get(Keys.Clock),
             tracing: context.get(Keys.Tracing),
             configuration: context.get(Keys.Configuration),
             digests: context.get(Keys.Digests),
-            replicator: context.get(Keys.SharedObjectKeeper),
+            replicator: context.get(Keys.SharedObjectReplicator),
             service: context.get(Keys.Service),
             table: context.get(Keys.Table),
             plainCalls: context.get(Keys.PlainCalls),
@@ -36,10 +38,10 @@
             limits: settings.limits,
             limiter: context.get(Keys.Limiter),
             service: context.get(Keys.Service),
-            table: context.get(Keys.Table),
+            requestTable: context.get(Keys.Table),
             drafts: context.get(Keys.Drafts),
             plainCalls: context.get(Keys.PlainCalls),
-            remote: context.get(Keys.PeerRequests),
+            remoteRequests: context.get(Keys.PeerRequests),
             gate: context.get(Keys.Gate),
         })
     );
@@ -55,7 +57,7 @@
             admission: context.get(Keys.Admission),
             table: context.get(Keys.Table),
             readiness: context.get(Keys.Gate) as ReadinessSource,
-            moves: context.get(Keys.Moves),
+            moves: context.get(Keys.MoveController),
             moveOperations: context.get(Keys.MoveOperations),
             clocks: context.get(Keys.ClockMonitor),
             operatorTokenHash: settings.operatorTokenHash,
--- a/src/node/bindings/requestBindings.ts
+++ b/src/node/bindings/requestBindings.ts
@@ -7,11 +7,11 @@
 import { ClaimStore } from "../../requests/commands/claimStore.js";
 import { DraftStore } from "../../requests/commands/draftStore.js";
 import { EndpointProbe } from "../../requests/commands/endpointProbe.js";
-import { HandOver } from "../../requests/commands/handOver.js";
 import { LoadObserver } from "../../requests/commands/loadObserver.js";
 import { ModelRequestRunner } from "../../requests/commands/modelRequestRunner.js";
 import { PlainCallRunner } from "../../requests/commands/plainCallRunner.js";
-import { ShadowRunner } from "../../requests/commands/shadowRunner.js";
+import { RequestHandover } from "../../requests/commands/requestHandover.js";
+import { ShadowRequestRunner } from "../../requests/commands/shadowRequestRunner.js";
 import { StreamMover } from "../../requests/commands/streamMover.js";
 import { TeamLimiter } from "../../requests/commands/teamLimiter.js";
 import { EndpointRegistry } from "../../requests/endpointRegistry.js";
@@ -21,7 +21,7 @@
 import { RequestService } from "../../requests/requestService.js";
 import { RequestTable } from "../../requests/requestTable.js";
 import { RetryBudget } from "../../requests/retryBudget.js";
-import { SuspectLanes } from "../../requests/suspectLanes.js";
+import { SuspectLocks } from "../../requests/suspectLocks.js";
 import { Keys } from "../keys.js";
 import { PeerRequests } from "../peerRequests.js";
 
@@ -78,17 +78,17 @@
             client: context.get(Keys.ModelClient),
             probe: context.get(Keys.Probe),
             ledger: context.get(Keys.Ledger),
-            lanes: SuspectLanes.create(),
+            suspectLocks: SuspectLocks.create(),
             budget: context.get(Keys.Budget),
             prefixIndex: context.get(Keys.PrefixIndex),
-            versions: context.get(Keys.Moves),
-            observer: context.get(Keys.Moves),
-            shadows: ShadowRunner.create(
+            versions: context.get(Keys.MoveController),
+            observer: context.get(Keys.MoveController),
+            shadowRunner: ShadowRequestRunner.create(
                 context.get(Keys.ModelClient),
                 context.get(Keys.Registry),
                 context.get(Keys.Selector),
-                context.get(Keys.Moves),
-                context.get(Keys.Moves),
+                context.get(Keys.MoveController),
+                context.get(Keys.MoveController),
                 context.get(Keys.Clock),
                 context.get(Keys.Metrics),
                 settings.timing.connectTimeout,
@@ -110,8 +110,8 @@
             budget: context.get(Keys.Budget),
             claims: context.get(Keys.Claims),
             forwarder: context.get(Keys.PeerRequests),
-            versions: context.get(Keys.Moves),
-            observer: context.get(Keys.Moves),
+            versions: context.get(Keys.MoveController),
+            observer: context.get(Keys.MoveController),
             connectTimeout: settings.timing.connectTimeout,
             answerBytes: settings.limits.answerBytes,
         })
@@ -129,7 +129,7 @@
         })
     );
     container.bind(Keys.RequestHandover).toDynamicValue(context =>
-        HandOver.create(
+        RequestHandover.create(
             context.get(Keys.Table),
             context.get(Keys.Directory),
             context.get(Keys.PeerLink),
--- a/src/node/corianderNode.ts
+++ b/src/node/corianderNode.ts
@@ -36,9 +36,11 @@
         const registry = container.get(Keys.Registry);
         registry.addListener(container.get(Keys.StreamMover));
         if (settings.webhookUrl !== undefined) {
-            container.get(Keys.Moves).addListener(MoveWebhook.create(settings.webhookUrl, settings.name, container.get(Keys.Logger)));
+            container.get(Keys.MoveController).addListener(
+                MoveWebhook.create(settings.webhookUrl, settings.name, container.get(Keys.Logger)),
+            );
         }
-        container.get(Keys.Digests).setKeeper(container.get(Keys.SharedObjectKeeper));
+        container.get(Keys.Digests).setReplicator(container.get(Keys.SharedObjectReplicator));
         this.addresses = {
             callers: await container.get(Keys.CallerServer).start(settings.callers),
             peers: await container.get(Keys.PeerServer).start(settings.peersListen),
@@ -95,8 +97,8 @@
         }
         container.get(Keys.Service).stop();
         container.get(Keys.Exchange).stop();
-        container.get(Keys.HostListKeeper).stop();
-        container.get(Keys.SharedObjectKeeper).stop();
+        container.get(Keys.HostListSynchronizer).stop();
+        container.get(Keys.SharedObjectReplicator).stop();
         container.get(Keys.LoadObserver).stop();
         container.get(Keys.QuarantineReplicator).stop();
         container.get(Keys.Claims).stop();
@@ -114,8 +116,8 @@
 
     private startTasks(): void {
         const { container } = this;
-        void container.get(Keys.HostListKeeper).runRounds();
-        void container.get(Keys.SharedObjectKeeper).runWatch();
+        void container.get(Keys.HostListSynchronizer).runRounds();
+        void container.get(Keys.SharedObjectReplicator).runWatch();
         void container.get(Keys.Exchange).runRounds();
         void container.get(Keys.LoadObserver).runRounds();
         void container.get(Keys.QuarantineReplicator).runRounds();
@@ -131,7 +133,7 @@
         const clock = this.container.get(Keys.Clock);
         const directory = this.container.get(Keys.Directory);
         while (!this.isStopped) {
-            const activeMembers = directory.listMembers().filter(member => directory.isAlive(member) && !member.isLeaving);
+            const activeMembers = directory.listMembers().filter(member => directory.isReachable(member) && !member.isLeaving);
             this.container.get(Keys.Limiter).setNodeCount(activeMembers.length + 1);
             await clock.sleep(this.settings.timing.exchangeInterval);
         }
--- a/src/node/gatewayKeys.ts
+++ b/src/node/gatewayKeys.ts
@@ -10,34 +10,34 @@
 import { EndpointDecoder, EndpointFollower } from "../fleet/endpointFollower.js";
 import { CallForwarder } from "../gateway/callForwarder.js";
 import { CallProtocol } from "../gateway/callProtocol.js";
-import { CrashWatch } from "../gateway/crashWatch.js";
-import { EndpointConnections } from "../gateway/endpointConnections.js";
+import { EndpointConnectionPool } from "../gateway/endpointConnectionPool.js";
 import { GatewayMetrics } from "../gateway/gatewayMetrics.js";
 import { GatewayServer } from "../gateway/gatewayServer.js";
 import { HopTracing } from "../gateway/hopTracing.js";
-import { FleetSums } from "../gossip/fleetSums.js";
+import { PoisonRequestDetector } from "../gateway/poisonRequestDetector.js";
+import { FleetSummaryAggregator } from "../gossip/fleetSummaryAggregator.js";
+import { GossipClient } from "../gossip/gossipClient.js";
 import { GossipExchange } from "../gossip/gossipExchange.js";
-import { GossipLink } from "../gossip/gossipLink.js";
 import { NodeRegistry } from "../gossip/nodeRegistry.js";
+import { PeerLoadTracker } from "../gossip/peerLoadTracker.js";
 import { PeerTable } from "../gossip/peerTable.js";
-import { RelayPlan } from "../gossip/relayPlan.js";
-import { SharedLoads } from "../gossip/sharedLoads.js";
-import { WatchPacing } from "../gossip/watchPacing.js";
-import { CallPlacement } from "../placement/callPlacement.js";
+import { RelaySelector } from "../gossip/relaySelector.js";
+import { WatchScheduler } from "../gossip/watchScheduler.js";
+import { CallPlacementPolicy } from "../placement/callPlacementPolicy.js";
 import { EndpointChooser } from "../placement/endpointChooser.js";
-import { EnginePlacement } from "../placement/enginePlacement.js";
-import { PlacementNews } from "../placement/placementNews.js";
-import { WorkMeter } from "../placement/workMeter.js";
-import { ObjectFollower } from "../provider/objectFollower.js";
+import { EnginePlacementPolicy } from "../placement/enginePlacementPolicy.js";
+import { PlacementUpdates } from "../placement/placementUpdates.js";
+import { ServiceWorkTracker } from "../placement/serviceWorkTracker.js";
 import { ObjectStore } from "../provider/objectStore.js";
-import { RetryAllowance } from "../quotas/retryAllowance.js";
+import { ObjectWatcher } from "../provider/objectWatcher.js";
+import { FleetRetryBudget } from "../quotas/fleetRetryBudget.js";
 import { SharedRateLimiter } from "../quotas/sharedRateLimiter.js";
 import { QuarantineLedger } from "../requests/quarantineLedger.js";
 import { ConfigurationDecoder, ConfigurationFollower } from "../routes/configurationFollower.js";
 import { ConfigurationHolder } from "../routes/configurationHolder.js";
 import { UsageCounter } from "../usage/usageCounter.js";
 import { UsageLedger } from "../usage/usageLedger.js";
-import { MoveAccountStore, VersionMoveDecoder } from "../versions/types.js";
+import { VersionMoveDecoder, VersionMoveStatusStore } from "../versions/types.js";
 import { VersionMoves } from "../versions/versionMoves.js";
 import { VersionTraffic } from "../versions/versionTraffic.js";
 
@@ -47,10 +47,10 @@
 
 /** Followers of the object store prefixes that a gateway watches. */
 export interface GatewayWatches {
-    readonly configuration: ObjectFollower;
-    readonly endpoints: ObjectFollower;
-    readonly nodes: ObjectFollower;
-    readonly versions: ObjectFollower;
+    readonly configuration: ObjectWatcher;
+    readonly endpoints: ObjectWatcher;
+    readonly nodes: ObjectWatcher;
+    readonly versions: ObjectWatcher;
 }
 
 /** Dependency injection keys of a gateway. */
@@ -68,7 +68,7 @@
     ConfigurationDecoder: createKey<ConfigurationDecoder>("ConfigurationDecoder"),
     EndpointDecoder: createKey<EndpointDecoder>("EndpointDecoder"),
     VersionMoveDecoder: createKey<VersionMoveDecoder>("VersionMoveDecoder"),
-    MoveAccounts: createKey<MoveAccountStore>("MoveAccounts"),
+    MoveAccounts: createKey<VersionMoveStatusStore>("MoveAccounts"),
     // Bound the same way in every kind of deployment.
     Versions: createKey<VersionMoves>("Versions"),
     VersionTraffic: createKey<VersionTraffic>("VersionTraffic"),
@@ -77,26 +77,26 @@
     Directory: createKey<EndpointDirectory>("Directory"),
     EndpointFollower: createKey<EndpointFollower>("EndpointFollower"),
     Watches: createKey<GatewayWatches>("Watches"),
-    Pacing: createKey<WatchPacing>("WatchPacing"),
+    WatchPacing: createKey<WatchScheduler>("WatchPacing"),
     Peers: createKey<PeerTable>("Peers"),
-    RelayPlan: createKey<RelayPlan>("RelayPlan"),
-    SharedLoads: createKey<SharedLoads>("SharedLoads"),
-    FleetSums: createKey<FleetSums>("FleetSums"),
+    RelayPlan: createKey<RelaySelector>("RelayPlan"),
+    SharedLoads: createKey<PeerLoadTracker>("SharedLoads"),
+    FleetSums: createKey<FleetSummaryAggregator>("FleetSums"),
     Registry: createKey<NodeRegistry>("Registry"),
-    GossipLink: createKey<GossipLink>("GossipLink"),
+    GossipLink: createKey<GossipClient>("GossipLink"),
     Gossip: createKey<GossipExchange>("Gossip"),
     SharedRateLimiter: createKey<SharedRateLimiter>("SharedRateLimiter"),
-    FleetRetryBudget: createKey<RetryAllowance>("FleetRetryBudget"),
+    FleetRetryBudget: createKey<FleetRetryBudget>("FleetRetryBudget"),
     Ledger: createKey<QuarantineLedger>("Ledger"),
     Usage: createKey<UsageCounter>("Usage"),
     UsageLedger: createKey<UsageLedger>("UsageLedger"),
-    ServiceWorkTracker: createKey<WorkMeter>("ServiceWorkTracker"),
-    PlacementUpdates: createKey<PlacementNews>("PlacementUpdates"),
-    EnginePlacement: createKey<EnginePlacement>("EnginePlacement"),
-    CallPlacement: createKey<CallPlacement>("CallPlacement"),
+    ServiceWorkTracker: createKey<ServiceWorkTracker>("ServiceWorkTracker"),
+    PlacementUpdates: createKey<PlacementUpdates>("PlacementUpdates"),
+    EnginePlacement: createKey<EnginePlacementPolicy>("EnginePlacement"),
+    CallPlacement: createKey<CallPlacementPolicy>("CallPlacement"),
     Chooser: createKey<EndpointChooser>("Chooser"),
-    PoisonRequestDetector: createKey<CrashWatch>("PoisonRequestDetector"),
-    Connections: createKey<EndpointConnections>("Connections"),
+    PoisonRequestDetector: createKey<PoisonRequestDetector>("PoisonRequestDetector"),
+    Connections: createKey<EndpointConnectionPool>("Connections"),
     Forwarder: createKey<CallForwarder>("Forwarder"),
     Server: createKey<GatewayServer>("Server"),
     Lease: createKey<DutyLease>("Lease"),
--- a/src/node/gatewayNode.ts
+++ b/src/node/gatewayNode.ts
@@ -5,7 +5,7 @@
 import { formatAddress } from "../config/sectionReader.js";
 import { NetworkAddress } from "../config/types.js";
 import { DirectoryChangeKind } from "../fleet/endpointDirectory.js";
-import { HopTracing, NoTracing } from "../gateway/hopTracing.js";
+import { HopTracing, NoopTracing } from "../gateway/hopTracing.js";
 import { GatewayPeerService } from "../generated/corianderward/gateway/v1/gateway_pb.js";
 import { PeerServer } from "../peers/peerServer.js";
 import { addGatewayBindings } from "./bindings/gatewayBindings.js";
@@ -51,7 +51,7 @@
     }
 
     /** Creates a gateway. `addDeployment` binds the keys that depend on the kind of deployment. */
-    static create(settings: GatewaySettings, addDeployment: DeploymentBindings, tracing: HopTracing = NoTracing.create()): GatewayNode {
+    static create(settings: GatewaySettings, addDeployment: DeploymentBindings, tracing: HopTracing = NoopTracing.create()): GatewayNode {
         const container = new Container({ defaultScope: "Singleton" });
         container.bind(Keys.Tracing).toConstantValue(tracing);
         addGatewayBindings(container, settings);
@@ -79,8 +79,8 @@
         }
         const watches = container.get(Keys.Watches);
         const gossip = container.get(Keys.Gossip);
-        watches.configuration.setLateNewsHandler(() => void gossip.publishNow());
-        watches.endpoints.setLateNewsHandler(() => void gossip.publishNow());
+        watches.configuration.setRelistHandler(() => void gossip.publishNow());
+        watches.endpoints.setRelistHandler(() => void gossip.publishNow());
         void watches.configuration.run();
         void watches.endpoints.run();
         void watches.nodes.run();
@@ -156,8 +156,8 @@
         container.get(Keys.Configuration).addListener(table => metrics.configurationVersion.set(table.configuration.version));
         container.get(Keys.Directory).addListener(change => {
             const { entry } = change.endpoint;
-            if (change.kind === DirectoryChangeKind.Reborn || change.kind === DirectoryChangeKind.Removed) {
-                container.get(Keys.PoisonRequestDetector).recordDeath(change.previous ?? change.endpoint);
+            if (change.kind === DirectoryChangeKind.Restarted || change.kind === DirectoryChangeKind.Removed) {
+                container.get(Keys.PoisonRequestDetector).recordCrash(change.previous ?? change.endpoint);
             }
             if (change.kind === DirectoryChangeKind.Removed || change.previous !== undefined) {
                 connections.removeEndpoint(change.previous ?? change.endpoint);
--- a/src/node/keys.ts
+++ b/src/node/keys.ts
@@ -9,13 +9,13 @@
 import { NodeSettings } from "../config/types.js";
 import { ConfigurationConsumer } from "../control/commands/configurationConsumer.js";
 import { DomainDuty } from "../control/commands/domainDuty.js";
-import { HostListKeeper } from "../control/commands/hostListKeeper.js";
-import { LeaseKeeper } from "../control/commands/leaseKeeper.js";
-import { QuarantineKeeper } from "../control/commands/quarantineKeeper.js";
-import { SharedObjectKeeper } from "../control/commands/sharedObjectKeeper.js";
+import { HostListSynchronizer } from "../control/commands/hostListSynchronizer.js";
+import { LeaseManager } from "../control/commands/leaseManager.js";
+import { QuarantineReplicator } from "../control/commands/quarantineReplicator.js";
+import { SharedObjectReplicator } from "../control/commands/sharedObjectReplicator.js";
 import { ClockMonitor } from "../control/moves/clockMonitor.js";
+import { MoveController } from "../control/moves/moveController.js";
 import { MoveDuty } from "../control/moves/moveDuty.js";
-import { MoveKeeper } from "../control/moves/moveKeeper.js";
 import { MoveOperations } from "../control/moves/moveOperations.js";
 import { SharedObjects } from "../control/sharedObjects.js";
 import { ModelEndpointClient } from "../endpoints/modelEndpoint.js";
@@ -26,18 +26,18 @@
 import { PeerServer } from "../peers/peerServer.js";
 import { TlsMaterial } from "../peers/tlsMaterial.js";
 import { PeerHandler, PeerLink } from "../peers/types.js";
-import { Cloud } from "../provider/cloud.js";
-import { HostList } from "../provider/hostList.js";
+import { CloudClient } from "../provider/cloudClient.js";
+import { HostListClient } from "../provider/hostListClient.js";
 import { ObjectStore } from "../provider/objectStore.js";
 import { WeightStore } from "../provider/weightStore.js";
 import { AdmissionQueue } from "../requests/commands/admissionQueue.js";
 import { ClaimStore } from "../requests/commands/claimStore.js";
 import { DraftStore } from "../requests/commands/draftStore.js";
 import { EndpointProbe } from "../requests/commands/endpointProbe.js";
-import { HandOver } from "../requests/commands/handOver.js";
 import { LoadObserver } from "../requests/commands/loadObserver.js";
 import { ModelRequestRunner } from "../requests/commands/modelRequestRunner.js";
 import { PlainCallRunner } from "../requests/commands/plainCallRunner.js";
+import { RequestHandover } from "../requests/commands/requestHandover.js";
 import { StreamMover } from "../requests/commands/streamMover.js";
 import { TeamLimiter } from "../requests/commands/teamLimiter.js";
 import { EndpointRegistry } from "../requests/endpointRegistry.js";
@@ -65,8 +65,8 @@
     Tracing: createKey<Tracing>("Tracing"),
     Configuration: createKey<ConfigurationSet>("Configuration"),
     ObjectStore: createKey<ObjectStore>("ObjectStore"),
-    HostList: createKey<HostList>("HostList"),
-    Cloud: createKey<Cloud | undefined>("Cloud"),
+    HostList: createKey<HostListClient>("HostList"),
+    Cloud: createKey<CloudClient | undefined>("Cloud"),
     Tls: createKey<TlsMaterial | undefined>("Tls"),
     PeerLink: createKey<PeerLink>("PeerLink"),
     Directory: createKey<MemberDirectory>("Directory"),
@@ -75,8 +75,8 @@
     Limiter: createKey<TeamLimiter>("Limiter"),
     Digests: createKey<NodeDigests>("Digests"),
     Exchange: createKey<ExchangeLoop>("Exchange"),
-    HostListKeeper: createKey<HostListKeeper>("HostListSynchronizer"),
-    SharedObjectKeeper: createKey<SharedObjectKeeper>("SharedObjectReplicator"),
+    HostListSynchronizer: createKey<HostListSynchronizer>("HostListSynchronizer"),
+    SharedObjectReplicator: createKey<SharedObjectReplicator>("SharedObjectReplicator"),
     ModelClient: createKey<ModelEndpointClient>("ModelClient"),
     PlainClient: createKey<PlainEndpointClient>("PlainClient"),
     PrefixIndex: createKey<PrefixIndex>("PrefixIndex"),
@@ -90,13 +90,13 @@
     WeightStore: createKey<WeightStore | undefined>("WeightStore"),
     Objects: createKey<SharedObjects>("Objects"),
     ConfigurationConsumer: createKey<ConfigurationConsumer>("ConfigurationConsumer"),
-    QuarantineReplicator: createKey<QuarantineKeeper>("QuarantineReplicator"),
+    QuarantineReplicator: createKey<QuarantineReplicator>("QuarantineReplicator"),
     ClockMonitor: createKey<ClockMonitor>("ClockMonitor"),
-    Moves: createKey<MoveKeeper>("MoveController"),
+    MoveController: createKey<MoveController>("MoveController"),
     MoveDuty: createKey<MoveDuty>("MoveDuty"),
     MoveOperations: createKey<MoveOperations>("MoveOperations"),
-    DomainLease: createKey<LeaseKeeper>("DomainLease"),
-    FleetLease: createKey<LeaseKeeper>("FleetLease"),
+    DomainLease: createKey<LeaseManager>("DomainLease"),
+    FleetLease: createKey<LeaseManager>("FleetLease"),
     DomainDuty: createKey<DomainDuty>("DomainDuty"),
     ModelRunner: createKey<ModelRequestRunner>("ModelRunner"),
     PlainCalls: createKey<PlainCallRunner>("PlainCalls"),
@@ -104,7 +104,7 @@
     PeerRequests: createKey<PeerRequests>("PeerRequests"),
     LoadObserver: createKey<LoadObserver>("LoadObserver"),
     StreamMover: createKey<StreamMover>("StreamMover"),
-    RequestHandover: createKey<HandOver>("RequestHandover"),
+    RequestHandover: createKey<RequestHandover>("RequestHandover"),
     Gate: createKey<NodeGate>("Gate"),
     PeerHandler: createKey<PeerHandler>("PeerHandler"),
     PeerServer: createKey<PeerServer>("PeerServer"),
--- a/src/node/nodeDigests.ts
+++ b/src/node/nodeDigests.ts
@@ -1,6 +1,6 @@
 import { Clock } from "../common/clock.js";
 import { RandomSource } from "../common/random.js";
-import { SharedObjectKeeper } from "../control/commands/sharedObjectKeeper.js";
+import { SharedObjectReplicator } from "../control/commands/sharedObjectReplicator.js";
 import { ClockMonitor } from "../control/moves/clockMonitor.js";
 import { SharedObjects } from "../control/sharedObjects.js";
 import { MoveEvidenceExchange } from "../control/types.js";
@@ -43,7 +43,7 @@
 
 /** Builds the digests that this node sends to its peers, and merges those that it receives. */
 export class NodeDigests implements DigestExchange {
-    private replicator: SharedObjectKeeper | undefined;
+    private replicator: SharedObjectReplicator | undefined;
     private isLeaving = false;
 
     private constructor(private readonly dependencies: NodeDigestDependencies) {}
@@ -53,7 +53,7 @@
     }
 
     /** Sets the replicator that fetches newer revisions reported by peers. Separate from `create`, since the replicator depends on the digests. */
-    setKeeper(replicator: SharedObjectKeeper): void {
+    setReplicator(replicator: SharedObjectReplicator): void {
         this.replicator = replicator;
     }
 
@@ -86,24 +86,24 @@
 
     applyDigest(digest: NodeDigest): boolean {
         const { directory, moves } = this.dependencies;
-        const isCurrent = directory.recordBeat(digest.node, Number(digest.incarnation), 0, digest.leaving);
+        const isCurrent = directory.recordHeartbeat(digest.node, Number(digest.incarnation), 0, digest.leaving);
         const member = directory.findMember(digest.node);
         if (!isCurrent || member === undefined) {
             return false;
         }
-        member.platformReachable = digest.platformReachable;
+        member.isPlatformReachable = digest.platformReachable;
         for (const entry of digest.revisions) {
             member.revisions.set(entry.name, Number(entry.revision));
         }
         this.dependencies.clocks.recordSendTime(digest.node, Number(digest.sentAtMilliseconds));
-        member.toldAt = this.dependencies.clock.getMonotonicTime();
+        member.lastDigestAt = this.dependencies.clock.getMonotonicTime();
         for (const heartbeat of digest.members) {
-            directory.recordBeat(heartbeat.node, Number(heartbeat.incarnation), heartbeat.ageMilliseconds, heartbeat.leaving);
+            directory.recordHeartbeat(heartbeat.node, Number(heartbeat.incarnation), heartbeat.ageMilliseconds, heartbeat.leaving);
         }
         this.applyLoads(digest);
         const hasUrgentUpdate = this.applyQuarantines(digest);
         for (const demand of digest.demands) {
-            this.dependencies.limiter.recordOtherDemand(demand.team, digest.node, demand.requestsPerKilosecond / secondsPerKilosecond);
+            this.dependencies.limiter.recordPeerDemand(demand.team, digest.node, demand.requestsPerKilosecond / secondsPerKilosecond);
         }
         moves.applyEvidence(digest.evidence);
         const hasRollback = moves.applyGrants(digest.grants);
@@ -126,15 +126,15 @@
         const now = clock.getMonotonicTime();
         const reportable = registry.listEntries().filter(entry => {
             const isLocal = entry.description.failureDomain === directory.identity.failureDomain;
-            return isLocal && (now - entry.loadAt < loadAgeLimitMilliseconds || entry.state === EndpointState.Leaving);
+            return isLocal && (now - entry.loadReportedAt < loadAgeLimitMilliseconds || entry.state === EndpointState.Leaving);
         });
-        reportable.sort((left, right) => right.loadAt - left.loadAt);
+        reportable.sort((left, right) => right.loadReportedAt - left.loadReportedAt);
         return reportable.slice(0, loadEntryLimit).map(entry => ({
             endpoint: entry.number,
             running: entry.load?.running ?? 0,
             waiting: entry.load?.waiting ?? 0,
             capacity: entry.load?.capacity ?? 0,
-            ageMilliseconds: Math.min(loadAgeLimitMilliseconds, Math.round(now - entry.loadAt)),
+            ageMilliseconds: Math.min(loadAgeLimitMilliseconds, Math.round(now - entry.loadReportedAt)),
             leaving: entry.state === EndpointState.Leaving,
         }));
     }
@@ -196,14 +196,14 @@
     private createMembers(): NodeDigestInit["members"] {
         const { directory, clock, random } = this.dependencies;
         const now = clock.getMonotonicTime();
-        const reachable = directory.listDomainMembers().filter(member => directory.isAlive(member));
+        const reachable = directory.listDomainMembers().filter(member => directory.isReachable(member));
         const chosen = reachable.length <= memberEntryLimit
             ? reachable
             : Array.from({ length: memberEntryLimit }, () => reachable[random.pickIndex(reachable.length)]);
         return chosen.filter(member => member !== undefined).map(member => ({
             node: member.name,
             incarnation: BigInt(member.incarnation),
-            ageMilliseconds: Math.round(now - member.lastHeardAt),
+            ageMilliseconds: Math.round(now - member.lastSeenAt),
             leaving: member.isLeaving,
         }));
     }
--- a/src/node/nodeGate.ts
+++ b/src/node/nodeGate.ts
@@ -1,6 +1,6 @@
 import { AcceptanceGate } from "../callers/types.js";
 import { ConfigurationSet } from "../config/configurationSet.js";
-import { HostListKeeper } from "../control/commands/hostListKeeper.js";
+import { HostListSynchronizer } from "../control/commands/hostListSynchronizer.js";
 import { ReadinessSource } from "../operators/types.js";
 
 /** Decides whether the node reports itself as ready and whether it accepts requests. Readiness ends before acceptance during a shutdown. */
@@ -8,9 +8,9 @@
     private isReadinessEnded = false;
     private isClosed = false;
 
-    private constructor(private readonly configuration: ConfigurationSet, private readonly hosts: HostListKeeper) {}
+    private constructor(private readonly configuration: ConfigurationSet, private readonly hosts: HostListSynchronizer) {}
 
-    static create(configuration: ConfigurationSet, hosts: HostListKeeper): NodeGate {
+    static create(configuration: ConfigurationSet, hosts: HostListSynchronizer): NodeGate {
         return new NodeGate(configuration, hosts);
     }
 
--- a/src/node/nodePeerHandler.ts
+++ b/src/node/nodePeerHandler.ts
@@ -5,7 +5,7 @@
 import { Tracing } from "../common/tracing.js";
 import { Verdict } from "../common/verdict.js";
 import { ConfigurationSet } from "../config/configurationSet.js";
-import { SharedObjectKeeper } from "../control/commands/sharedObjectKeeper.js";
+import { SharedObjectReplicator } from "../control/commands/sharedObjectReplicator.js";
 import {
     AdoptRequestRequest,
     DigestExchange,
@@ -32,7 +32,7 @@
     readonly tracing: Tracing;
     readonly configuration: ConfigurationSet;
     readonly digests: DigestExchange;
-    readonly replicator: SharedObjectKeeper;
+    readonly replicator: SharedObjectReplicator;
     readonly service: RequestService;
     readonly table: RequestTable;
     readonly plainCalls: PlainCallRunner;
@@ -57,8 +57,8 @@
         return this.dependencies.digests.createDigest();
     }
 
-    createSharedObjectsAnswer(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit {
-        return this.dependencies.replicator.createAnswer(known);
+    createSharedObjectsResponse(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit {
+        return this.dependencies.replicator.createResponse(known);
     }
 
     async adoptRequest(message: AdoptRequestRequest): Promise<boolean> {
--- a/src/node/peerRequests.ts
+++ b/src/node/peerRequests.ts
@@ -2,14 +2,14 @@
 import { RemoteRequests } from "../callers/types.js";
 import { Clock } from "../common/clock.js";
 import { Failure } from "../common/failure.js";
-import { selectByRendezvous } from "../common/hashing.js";
+import { listByRendezvousRank } from "../common/hashing.js";
 import { Err, Ok, Result } from "../common/results.js";
 import { Span, Tracing } from "../common/tracing.js";
 import { Verdict } from "../common/verdict.js";
 import { FinishReason } from "../endpoints/types.js";
 import { MemberDirectory } from "../peers/memberDirectory.js";
 import { FollowRequestEvent, ForwardCallResponse, Member, PeerLink } from "../peers/types.js";
-import { findMessage } from "../requests/commands/draftStore.js";
+import { findDiagnosticMessage } from "../requests/commands/draftStore.js";
 import { CallForwarder, PlainCallResult } from "../requests/commands/plainCallRunner.js";
 import { RequestHistory, RequestRecord } from "../requests/requestRecord.js";
 import { PlainRequest, RequestOutcome } from "../requests/types.js";
@@ -39,9 +39,9 @@
     }
 
     async followRequest(requestId: string, offset: number): Promise<RequestRecord | undefined> {
-        const sameDomainMembers = selectByRendezvous(requestId, this.directory.listDomainMembers(), member => member.name);
+        const sameDomainMembers = listByRendezvousRank(requestId, this.directory.listDomainMembers(), member => member.name);
         const otherDomainMembers = this.directory.listMembers().filter(member => !sameDomainMembers.includes(member));
-        const members = [...sameDomainMembers, ...otherDomainMembers].filter(member => this.directory.isAlive(member)).slice(
+        const members = [...sameDomainMembers, ...otherDomainMembers].filter(member => this.directory.isReachable(member)).slice(
             0,
             followPeerLimit,
         );
@@ -51,7 +51,7 @@
 
     async forwardCall(request: PlainRequest, history: RequestHistory): Promise<Result<PlainCallResult, Failure> | undefined> {
         const reachable = this.directory.listMembers().filter(member =>
-            this.directory.isAlive(member) && !member.isLeaving && member.platformReachable
+            this.directory.isReachable(member) && !member.isLeaving && member.isPlatformReachable
         );
         const nearestFirst = reachable.sort((left, right) => this.getDomainRank(left) - this.getDomainRank(right));
         for (const member of nearestFirst.slice(0, forwardPeerLimit)) {
@@ -125,14 +125,16 @@
         catch {
             // A lost connection ends the record below like the end of the stream.
         }
-        record.finishWithoutAnswer(RequestOutcome.HandedOver);
+        record.finishWithoutResponse(RequestOutcome.HandedOver);
         span.end();
     }
 }
 
 function readForwardResponse(response: ForwardCallResponse): Result<PlainCallResult, Failure> {
     if (response.status === 0) {
-        return Err(Failure.createFormatted(readVerdict(response.verdict), findMessage(response.failureCode), response.failureText));
+        return Err(
+            Failure.createFormatted(readVerdict(response.verdict), findDiagnosticMessage(response.failureCode), response.failureText),
+        );
     }
     const contentType = response.contentType === "" ? undefined : response.contentType;
     return Ok({ answer: { status: response.status, contentType, body: Buffer.from(response.body) }, isReplayed: false });
@@ -175,8 +177,10 @@
         return;
     }
     if (end.failureCode !== 0) {
-        record.finishWithFailure(Failure.createFormatted(readVerdict(end.failureVerdict), findMessage(end.failureCode), end.failureText));
+        record.finishWithFailure(
+            Failure.createFormatted(readVerdict(end.failureVerdict), findDiagnosticMessage(end.failureCode), end.failureText),
+        );
         return;
     }
-    record.finishWithoutAnswer(RequestOutcome.HandedOver);
+    record.finishWithoutResponse(RequestOutcome.HandedOver);
 }
--- a/src/operators/queries/explainRequest.ts
+++ b/src/operators/queries/explainRequest.ts
@@ -6,7 +6,7 @@
     if (local !== undefined) {
         return JSON.stringify(local);
     }
-    const members = dependencies.directory.listMembers().filter(member => dependencies.directory.isAlive(member));
+    const members = dependencies.directory.listMembers().filter(member => dependencies.directory.isReachable(member));
     const responses = await Promise.all(members.map(member => dependencies.link.describeRequest(member.address, requestId)));
     for (const response of responses) {
         if (response.ok && response.val.found) {
--- a/src/operators/types.ts
+++ b/src/operators/types.ts
@@ -2,7 +2,7 @@
 import { Metrics } from "../common/metrics.js";
 import { ConfigurationSet } from "../config/configurationSet.js";
 import { ClockMonitor } from "../control/moves/clockMonitor.js";
-import { MoveKeeper } from "../control/moves/moveKeeper.js";
+import { MoveController } from "../control/moves/moveController.js";
 import { MoveOperations } from "../control/moves/moveOperations.js";
 import { MemberDirectory } from "../peers/memberDirectory.js";
 import { PeerLink } from "../peers/types.js";
@@ -29,7 +29,7 @@
     readonly admission: AdmissionQueue;
     readonly table: RequestTable;
     readonly readiness: ReadinessSource;
-    readonly moves: MoveKeeper;
+    readonly moves: MoveController;
     readonly moveOperations: MoveOperations;
     readonly clocks: ClockMonitor;
     /** SHA-256 hash of the operators' bearer token; undefined disables authentication. */
--- a/src/peers/connectPeerLink.ts
+++ b/src/peers/connectPeerLink.ts
@@ -33,7 +33,7 @@
 
     static create(tls: TlsMaterial | undefined, metrics: Metrics): ConnectPeerLink {
         const sessions = PeerSessions.create(PeerService, tls, {
-            recordSilence: () => metrics.silences.inc({ hop: "peer" }),
+            recordUnresponsivePeer: () => metrics.silentConnections.inc({ hop: "peer" }),
             recordSessionError: () => metrics.peerExchanges.inc({ outcome: "session-error" }),
         });
         return new ConnectPeerLink(sessions, metrics);
--- a/src/peers/exchangeLoop.ts
+++ b/src/peers/exchangeLoop.ts
@@ -57,7 +57,7 @@
     }
 
     async sendUrgentDigest(): Promise<void> {
-        const domainPeers = this.directory.listLiveDomainMembers().slice(0, urgentPartnerLimit);
+        const domainPeers = this.directory.listReachableDomainMembers().slice(0, urgentPartnerLimit);
         const otherDomainPeers = this.directory.listOtherDomains().flatMap(name => this.listReachableMembers(name).slice(0, 1));
         const exchanges = Promise.allSettled([...domainPeers, ...otherDomainPeers].map(member => this.exchangeWith(member)));
         await Promise.race([exchanges, this.clock.sleep(urgentWaitMilliseconds, this.stopping.signal)]);
@@ -76,7 +76,7 @@
     }
 
     private listReachableMembers(failureDomain: string): Member[] {
-        return this.directory.listMembers().filter(member => member.failureDomain === failureDomain && this.directory.isAlive(member));
+        return this.directory.listMembers().filter(member => member.failureDomain === failureDomain && this.directory.isReachable(member));
     }
 
     private pickDomainPartners(): Member[] {
@@ -103,7 +103,7 @@
 
     /** Returns whether this node exchanges digests with other domains: the reachable nodes with the lowest names do. */
     private isBridge(): boolean {
-        const names = this.directory.listLiveDomainMembers().map(member => member.name);
+        const names = this.directory.listReachableDomainMembers().map(member => member.name);
         const lowerNames = names.filter(name => name < this.directory.identity.name);
         return lowerNames.length < bridgesPerDomain;
     }
--- a/src/peers/memberDirectory.ts
+++ b/src/peers/memberDirectory.ts
@@ -51,11 +51,11 @@
         this.members.set(source.name, {
             ...source,
             incarnation: 0,
-            lastHeardAt: -Infinity,
+            lastSeenAt: -Infinity,
             isLeaving: false,
-            platformReachable: false,
+            isPlatformReachable: false,
             revisions: new Map(),
-            toldAt: -Infinity,
+            lastDigestAt: -Infinity,
         });
     }
 
@@ -68,7 +68,7 @@
      * Records a heartbeat of a member, received directly or relayed; the age is in milliseconds. Returns false and records nothing when
      * the member is unknown or the heartbeat is of an earlier incarnation.
      */
-    recordBeat(name: string, incarnation: number, age: number, isLeaving: boolean): boolean {
+    recordHeartbeat(name: string, incarnation: number, age: number, isLeaving: boolean): boolean {
         const member = this.members.get(name);
         if (member === undefined || incarnation < member.incarnation) {
             return false;
@@ -81,7 +81,7 @@
             member.isLeaving = isLeaving;
         }
         member.isLeaving = member.isLeaving || isLeaving;
-        member.lastHeardAt = Math.max(member.lastHeardAt, this.clock.getMonotonicTime() - age);
+        member.lastSeenAt = Math.max(member.lastSeenAt, this.clock.getMonotonicTime() - age);
         return true;
     }
 
@@ -99,13 +99,13 @@
     }
 
     /** Returns whether a heartbeat of a member was received recently enough to consider it reachable. */
-    isAlive(member: Member): boolean {
-        return this.clock.getMonotonicTime() - member.lastHeardAt < this.silenceLimit * reachabilityTimeoutFactor;
+    isReachable(member: Member): boolean {
+        return this.clock.getMonotonicTime() - member.lastSeenAt < this.silenceLimit * reachabilityTimeoutFactor;
     }
 
     /** Returns the reachable members of this node's failure domain that are not leaving. */
-    listLiveDomainMembers(): Member[] {
-        return this.listDomainMembers().filter(member => this.isAlive(member) && !member.isLeaving);
+    listReachableDomainMembers(): Member[] {
+        return this.listDomainMembers().filter(member => this.isReachable(member) && !member.isLeaving);
     }
 
     /** Returns the failure domains of the other nodes. */
--- a/src/peers/peerServer.ts
+++ b/src/peers/peerServer.ts
@@ -86,7 +86,7 @@
             }
             return { digest: await handler.handleExchange(request.digest) };
         },
-        fetchSharedObjects: request => handler.createSharedObjectsAnswer(request.known),
+        fetchSharedObjects: request => handler.createSharedObjectsResponse(request.known),
         adoptRequest: async request => ({ accepted: await handler.adoptRequest(request) }),
         followRequest: (request, context) => handler.followRequest(request.requestId, request.offset, context.signal),
         forwardCall: request => handler.forwardCall(request),
--- a/src/peers/peerSessions.ts
+++ b/src/peers/peerSessions.ts
@@ -4,7 +4,7 @@
 import { EventEmitter } from "node:events";
 import { SecureContextOptions } from "node:tls";
 import { Diagnostics } from "../common/diagnostics.js";
-import { describeError, Failure, hasNeverConnected } from "../common/failure.js";
+import { describeError, Failure, isConnectFailure } from "../common/failure.js";
 import { Err, Ok, Result } from "../common/results.js";
 import { Verdict } from "../common/verdict.js";
 import { formatAddress } from "../config/sectionReader.js";
@@ -29,7 +29,7 @@
 
 /** Counts unresponsive peers and session errors in the metrics. */
 export interface SessionObserver {
-    recordSilence(): void;
+    recordUnresponsivePeer(): void;
     recordSessionError(): void;
 }
 
@@ -61,7 +61,7 @@
             const connectError = ConnectError.from(error);
             if (connectError.code === Code.DeadlineExceeded || connectError.code === Code.Unavailable) {
                 // A broken connection may stay open although nothing arrives on it any more, so it is not reused.
-                this.observer.recordSilence();
+                this.observer.recordUnresponsivePeer();
                 peer.sessions.abort();
                 this.peers.delete(formatAddress(address));
             }
@@ -131,6 +131,6 @@
 }
 
 function createPeerFailure(address: NetworkAddress, error: ConnectError): Failure {
-    const verdict = hasNeverConnected(error.cause) ? Verdict.NotRun : Verdict.MayHaveRun;
+    const verdict = isConnectFailure(error.cause) ? Verdict.NotRun : Verdict.MayHaveRun;
     return Failure.create(verdict, Diagnostics.Node_at_0_did_not_answer_1, formatAddress(address), describeError(error));
 }
--- a/src/peers/peerTls.test.ts
+++ b/src/peers/peerTls.test.ts
@@ -6,7 +6,7 @@
 import { createSilentLogger } from "../common/logging.js";
 import { Metrics } from "../common/metrics.js";
 import { TlsSettings } from "../config/types.js";
-import { createAuthority, createNodeCertificate, KeyPairFiles } from "../keys/certificates.js";
+import { CertificateKeyPair, createAuthority, createNodeCertificate } from "../keys/certificates.js";
 import { ConnectPeerLink } from "./connectPeerLink.js";
 import { PeerServer } from "./peerServer.js";
 import { TlsMaterial } from "./tlsMaterial.js";
@@ -17,7 +17,7 @@
 
 const handler = { describeRequest: () => "{}" } as unknown as PeerHandler;
 
-function writeKeys(name: string, authority: KeyPairFiles, files: KeyPairFiles): TlsSettings {
+function writeKeys(name: string, authority: CertificateKeyPair, files: CertificateKeyPair): TlsSettings {
     const settings = {
         certificateFile: join(directory, `${name}.pem`),
         keyFile: join(directory, `${name}-key.pem`),
@@ -37,7 +37,7 @@
     const serverTls = TlsMaterial.create(serverSettings, createSilentLogger());
     const server = PeerServer.create(handler, serverTls);
     const address = await server.start({ host: "127.0.0.1", port: 0 });
-    const openLink = (name: string, signer: KeyPairFiles) => {
+    const openLink = (name: string, signer: CertificateKeyPair) => {
         const settings = writeKeys(name, authority, createNodeCertificate(signer, name, 5, now));
         const material = TlsMaterial.create(settings, createSilentLogger());
         return { material, settings, link: ConnectPeerLink.create(material, Metrics.create()) };
--- a/src/peers/types.ts
+++ b/src/peers/types.ts
@@ -44,13 +44,13 @@
     /** Start time of the node's process in Unix milliseconds, or 0 until its first heartbeat. */
     incarnation: number;
     /** Monotonic milliseconds of the node's last heartbeat, received directly or relayed by another node. */
-    lastHeardAt: number;
+    lastSeenAt: number;
     isLeaving: boolean;
-    platformReachable: boolean;
+    isPlatformReachable: boolean;
     /** Applied revisions of shared objects, as reported in the node's own digests. */
     readonly revisions: Map<string, number>;
     /** Monotonic milliseconds at which the last digest of the node itself was received. */
-    toldAt: number;
+    lastDigestAt: number;
 }
 
 /** Result of a call to a peer; a failure states whether the peer may have executed the call. */
@@ -71,7 +71,7 @@
 /** Handles the calls that peers make to this node. */
 export interface PeerHandler {
     handleExchange(digest: NodeDigest): Promise<NodeDigestInit>;
-    createSharedObjectsAnswer(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit;
+    createSharedObjectsResponse(known: readonly ObjectRevision[]): FetchSharedObjectsResponseInit;
     adoptRequest(request: AdoptRequestRequest): Promise<boolean>;
     followRequest(requestId: string, offset: number, signal: AbortSignal): AsyncIterable<FollowRequestEventInit>;
     forwardCall(call: ForwardCallRequest): Promise<ForwardCallResponseInit>;
--- a/src/placement/callPlacement.ts
+++ b/src/placement/callPlacementPolicy.ts
@@ -17,7 +17,7 @@
 }
 
 /** Estimates costs for calls to plain services, so that calls go to endpoints with a free slot or the shortest queue. */
-export class CallPlacement implements PlacementPolicy {
+export class CallPlacementPolicy implements PlacementPolicy {
     private readonly callTimes = new Map<string, number>();
 
     private constructor(
@@ -26,8 +26,8 @@
         private readonly getTime: () => number,
     ) {}
 
-    static create(settings: CallCostSettings, failureDomain: string, getTime: () => number): CallPlacement {
-        return new CallPlacement(settings, failureDomain, getTime);
+    static create(settings: CallCostSettings, failureDomain: string, getTime: () => number): CallPlacementPolicy {
+        return new CallPlacementPolicy(settings, failureDomain, getTime);
     }
 
     /** Records the duration of a call that did not queue because its endpoint had a free slot. */
--- a/src/placement/endpointChooser.ts
+++ b/src/placement/endpointChooser.ts
@@ -25,13 +25,13 @@
 export type ConnectionLimitSource = (service: string) => number;
 
 /** Restricts and orders the endpoints that may serve a request, for example while a service moves between versions. */
-export interface EndpointTraffic {
+export interface EndpointGroupSource {
     /** Returns groups of endpoints in order of preference; endpoints in no group must not receive the request. */
     listGroups(query: PlacementQuery, endpoints: readonly FleetEndpoint[]): (readonly FleetEndpoint[])[];
 }
 
 /** Puts all endpoints into one group: any of them may serve any request. */
-const singleGroupSource: EndpointTraffic = { listGroups: (_query, endpoints) => [endpoints] };
+const singleGroupSource: EndpointGroupSource = { listGroups: (_query, endpoints) => [endpoints] };
 
 /** Chooses the endpoint for each request by the costs that the service's placement policy estimates. */
 export class EndpointChooser {
@@ -41,7 +41,7 @@
         private readonly random: RandomSource,
         private readonly getPolicy: (service: string) => PlacementPolicy,
         private readonly getConnectionLimit: ConnectionLimitSource,
-        private readonly traffic: EndpointTraffic,
+        private readonly traffic: EndpointGroupSource,
     ) {}
 
     static create(
@@ -50,7 +50,7 @@
         random: RandomSource,
         getPolicy: (service: string) => PlacementPolicy,
         getConnectionLimit: ConnectionLimitSource,
-        traffic: EndpointTraffic = singleGroupSource,
+        traffic: EndpointGroupSource = singleGroupSource,
     ): EndpointChooser {
         return new EndpointChooser(directory, clock, random, getPolicy, getConnectionLimit, traffic);
     }
@@ -130,7 +130,7 @@
         const now = this.clock.getMonotonicTime();
         const limit = Math.max(1, this.getConnectionLimit(query.service) - reservedConnections);
         const usable = group.filter(endpoint => endpoint.isUsable());
-        const untried = usable.filter(endpoint => !query.tried.has(endpoint) && !endpoint.isFull(now) && endpoint.running < limit);
+        const untried = usable.filter(endpoint => !query.triedEndpoints.has(endpoint) && !endpoint.isFull(now) && endpoint.running < limit);
         const notExcluded = untried.filter(endpoint => !endpoint.isExcluded(now));
         // Endpoints excluded because they did not respond are used only when no other endpoint is left.
         return notExcluded.length > 0 ? notExcluded : untried;
--- a/src/placement/enginePlacement.ts
+++ b/src/placement/enginePlacementPolicy.ts
@@ -38,13 +38,13 @@
  * Estimates costs for generations, so that they go to endpoints that have the prompt cached and few prompt tokens queued.
  * A shared prompt part that no endpoint has cached goes to its home: the endpoint with the lowest rendezvous hash.
  */
-export class EnginePlacement implements PlacementPolicy {
+export class EnginePlacementPolicy implements PlacementPolicy {
     private readonly homeScores = new Map<string, number>();
 
     private constructor(private readonly settings: EngineCostSettings, private readonly failureDomain: string) {}
 
-    static create(settings: EngineCostSettings, failureDomain: string): EnginePlacement {
-        return new EnginePlacement(settings, failureDomain);
+    static create(settings: EngineCostSettings, failureDomain: string): EnginePlacementPolicy {
+        return new EnginePlacementPolicy(settings, failureDomain);
     }
 
     /**
@@ -138,7 +138,7 @@
 function listCacheSources(prompt: PromptShape, all: readonly FleetEndpoint[]): CacheSource[] {
     let best: CacheSource | undefined;
     let second: CacheSource | undefined;
-    for (const endpoint of all.filter(candidate => !candidate.isGone)) {
+    for (const endpoint of all.filter(candidate => !candidate.isRemoved)) {
         const source = { endpoint, cachedTokens: endpoint.cache.countCachedTokens(prompt.parts) };
         if (source.cachedTokens > (best?.cachedTokens ?? 0)) {
             second = best;
--- a/src/placement/placement.test.ts
+++ b/src/placement/placement.test.ts
@@ -6,13 +6,13 @@
 import { createEndpointEntry, createPlacementQuery } from "../testing/gatewayParts.js";
 import { VirtualClock } from "../testing/virtualClock.js";
 import { EndpointChooser } from "./endpointChooser.js";
-import { EnginePlacement } from "./enginePlacement.js";
+import { EnginePlacementPolicy } from "./enginePlacementPolicy.js";
 
 const speeds = { promptTokensPerMillisecond: 48, batchPenalty: 1.5, domainPenalty: 30, copyPenalty: 20, homePenalty: 15 };
 
 function createFleet(clock: VirtualClock, count: number, domains = ["a"]): { directory: EndpointDirectory; endpoints: FleetEndpoint[]; } {
     const directory = EndpointDirectory.create(clock);
-    directory.setMemorySource(() => 550_000);
+    directory.setMemoryTokensSource(() => 550_000);
     for (let index = 0; index < count; index += 1) {
         const failureDomain = domains[index % domains.length] ?? "a";
         directory.applyEntry({ entry: createEndpointEntry({ id: `e-${index}`, failureDomain, slots: 64 }), revision: index + 1 }, "test");
@@ -21,7 +21,7 @@
 }
 
 function createChooser(directory: EndpointDirectory, clock: VirtualClock, seed: number): EndpointChooser {
-    const policy = EnginePlacement.create(speeds, "a");
+    const policy = EnginePlacementPolicy.create(speeds, "a");
     return EndpointChooser.create(directory, clock, SeededRandom.create(seed), () => policy, () => 1_000);
 }
 
@@ -35,7 +35,7 @@
     const chosen = new Map<string, number>();
     for (let node = 0; node < 7; node += 1) {
         const { directory, endpoints } = createFleet(clock, 12);
-        endpoints.forEach((endpoint, index) => (endpoint.sharedLoad = { running: 5, promptTokens: index === 3 ? 0 : 20_000 }));
+        endpoints.forEach((endpoint, index) => (endpoint.peerLoad = { running: 5, promptTokens: index === 3 ? 0 : 20_000 }));
         const chooser = createChooser(directory, clock, node + 1);
         for (let request = 0; request < 4; request += 1) {
             const placed = chooser.choosePlacement(
@@ -92,13 +92,13 @@
     const [draining, full, unresponsive, healthy] = endpoints as [FleetEndpoint, FleetEndpoint, FleetEndpoint, FleetEndpoint];
     directory.markDraining(draining, "test");
     full.recordRefusal(0);
-    unresponsive.recordLoss(0);
+    unresponsive.recordMissingResponse(0);
     healthy.promptTokens = 20_000;
     const chooser = createChooser(directory, clock, 1);
     for (let request = 0; request < 20; request += 1) {
         const placed = chooser.choosePlacement(createPlacementQuery({}));
         assert.equal(placed.ok && placed.val.endpoint, healthy);
     }
-    const withoutHealthy = chooser.choosePlacement(createPlacementQuery({ tried: new Set([healthy]) }));
+    const withoutHealthy = chooser.choosePlacement(createPlacementQuery({ triedEndpoints: new Set([healthy]) }));
     assert.equal(withoutHealthy.ok && withoutHealthy.val.endpoint, unresponsive);
 });
--- a/src/placement/placementNews.ts
+++ b/src/placement/placementUpdates.ts
@@ -27,14 +27,14 @@
 const localSource: PlacementUpdateSource = { peer: "", isRelay: false };
 
 /** Buffers recent placements for the digests sent to peers, from which peers derive what each endpoint has cached. */
-export class PlacementNews {
+export class PlacementUpdates {
     private entries: PlacementUpdateEntry[] = [];
     private sequence = 0;
 
     private constructor() {}
 
-    static create(): PlacementNews {
-        return new PlacementNews();
+    static create(): PlacementUpdates {
+        return new PlacementUpdates();
     }
 
     /** Records a placement made by this node, without the last prompt part, which no other request shares. */
@@ -43,11 +43,11 @@
         if (shared.length === 0) {
             return;
         }
-        this.addNews({ endpointId: endpoint.entry.id, parts: shared }, localSource);
+        this.addUpdate({ endpointId: endpoint.entry.id, parts: shared }, localSource);
     }
 
     /** Adds a placement to send to peers; a relay also adds the placements that it receives. */
-    addNews(placed: PlacedPromptParts, source: PlacementUpdateSource): void {
+    addUpdate(placed: PlacedPromptParts, source: PlacementUpdateSource): void {
         this.sequence += 1;
         this.entries.push({ sequence: this.sequence, placed, source });
         if (this.entries.length > maximumBufferedUpdates) {
@@ -56,12 +56,12 @@
     }
 
     /** Returns the sequence number of the newest placement; 0 before the first. */
-    getSequence(): number {
+    getLatestSequence(): number {
         return this.sequence;
     }
 
     /** Returns the placements after a sequence number, except those that the receiver sent itself or receives from another relay. */
-    listSince(sequence: number, receiver: PlacementUpdateSource): PlacedPromptParts[] {
+    listUpdatesSince(sequence: number, receiver: PlacementUpdateSource): PlacedPromptParts[] {
         return this.entries
             .filter(entry =>
                 entry.sequence > sequence && entry.source.peer !== receiver.peer && !(receiver.isRelay && entry.source.isRelay)
--- a/src/placement/workMeter.ts
+++ b/src/placement/serviceWorkTracker.ts
@@ -26,14 +26,14 @@
 }
 
 /** Tracks the engine time demand of each service, from the generations that this node sends and the demand that peers report. */
-export class WorkMeter {
+export class ServiceWorkTracker {
     private readonly localRates = new Map<string, DecayingWorkRate>();
     private readonly peerRatesByService = new Map<string, Map<string, DecayingWorkRate>>();
 
     private constructor(private readonly clock: Clock, private readonly times: TokenProcessingTimes) {}
 
-    static create(clock: Clock, times: TokenProcessingTimes): WorkMeter {
-        return new WorkMeter(clock, times);
+    static create(clock: Clock, times: TokenProcessingTimes): ServiceWorkTracker {
+        return new ServiceWorkTracker(clock, times);
     }
 
     /** Adds the estimated engine time of a generation that this node sends to an engine. */
@@ -47,14 +47,14 @@
     }
 
     /** Replaces the work that a peer, or a group of nodes, reports for a service. */
-    recordOther(service: string, node: string, work: number): void {
+    recordPeerWork(service: string, node: string, work: number): void {
         const ratesByPeer = this.peerRatesByService.get(service) ?? new Map<string, DecayingWorkRate>();
         ratesByPeer.set(node, { work, at: this.clock.getMonotonicTime() });
         this.peerRatesByService.set(service, ratesByPeer);
     }
 
     /** Removes the sources that the predicate rejects, because another source's sum includes their nodes. */
-    removeOthers(isKept: (source: string) => boolean): void {
+    removeSources(isKept: (source: string) => boolean): void {
         for (const ratesByPeer of this.peerRatesByService.values()) {
             [...ratesByPeer.keys()].filter(node => !isKept(node)).forEach(node => ratesByPeer.delete(node));
         }
@@ -67,7 +67,7 @@
     }
 
     /** Returns the work that this node sends to each service. */
-    listOwn(): ServiceWork[] {
+    listLocalWork(): ServiceWork[] {
         const now = this.clock.getMonotonicTime();
         return [...this.localRates].map(([service, rate]) => ({ service, work: computeDecayedWork(rate, now) }));
     }
