--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -13,9 +13,9 @@
     /** Urgency of the request; 0 is the most urgent. */
     readonly rank: number;
     /** Endpoints to which earlier attempts of this request were sent. */
-    readonly tried: ReadonlySet<FleetEndpoint>;
+    readonly triedEndpoints: ReadonlySet<FleetEndpoint>;
     /** Whether the request is a stream that cannot be resumed at another endpoint. */
-    readonly isBoundStream: boolean;
+    readonly isNonResumableStream: boolean;
 }
 
 /** The endpoint chosen for a request, with the estimates behind the choice. */
--- a/src/provider/cloud.ts
+++ b/src/provider/cloudClient.ts
@@ -7,7 +7,7 @@
 import { HostOffer, noticeSchema, offerSchema, ReclaimNotice } from "./types.js";
 
 /** Client of the cloud API, which sells hosts: lists offers and reclaim notices, starts and stops hosts. */
-export interface Cloud {
+export interface CloudClient {
     /** Returns the machine classes that can be bought now, with their current prices. */
     listOffers(): Promise<Result<HostOffer[], Failure>>;
     /** Returns the reclaims that were announced and have not yet taken place. */
@@ -23,12 +23,12 @@
 const startedSchema = z.object({ host: z.string() });
 
 /** Calls the cloud API with JSON over HTTP, without retries. */
-export class HttpCloud implements Cloud {
+export class HttpCloudClient implements CloudClient {
     private constructor(private readonly client: Got) {}
 
     /** Creates a client for a base URL; the timeout is that of a whole request, in milliseconds. */
-    static create(url: string, timeout: number): HttpCloud {
-        return new HttpCloud(got.extend({ prefixUrl: url, retry: { limit: 0 }, timeout: { request: timeout } }));
+    static create(url: string, timeout: number): HttpCloudClient {
+        return new HttpCloudClient(got.extend({ prefixUrl: url, retry: { limit: 0 }, timeout: { request: timeout } }));
     }
 
     async listOffers(): Promise<Result<HostOffer[], Failure>> {
--- a/src/provider/hostList.ts
+++ b/src/provider/hostListClient.ts
@@ -7,7 +7,7 @@
 import { hostSchema, ListedHost } from "./types.js";
 
 /** Client of the platform's list of live and leaving hosts. The list may lag behind the actual state. */
-export interface HostList {
+export interface HostListClient {
     /** Returns every host that is in the list now. */
     listHosts(): Promise<Result<ListedHost[], Failure>>;
 }
@@ -17,15 +17,15 @@
 const statusNotModified = 304;
 
 /** Reads the host list with JSON over HTTP. Sends the last entity tag, so that an unchanged list is not transferred again. */
-export class HttpHostList implements HostList {
+export class HttpHostListClient implements HostListClient {
     private hosts: ListedHost[] = [];
     private entityTag: string | undefined;
 
     private constructor(private readonly client: Got) {}
 
     /** Creates a client for a base URL; the timeout is that of a whole request, in milliseconds. */
-    static create(url: string, timeout: number): HttpHostList {
-        return new HttpHostList(
+    static create(url: string, timeout: number): HttpHostListClient {
+        return new HttpHostListClient(
             got.extend({
                 prefixUrl: url,
                 decompress: false,
--- a/src/provider/objectFollower.ts
+++ b/src/provider/objectWatcher.ts
@@ -9,10 +9,10 @@
 const maximumBackoffMilliseconds = 1_000;
 
 /** Pause after a batch of changes before the next call: changes occur in groups, and one call returns a whole group. */
-export const groupMilliseconds = 200;
+export const batchPauseMilliseconds = 200;
 
 /** Receives the objects and changes that an `ObjectWatcher` reads. */
-export interface ObjectHandler {
+export interface ObjectChangeHandler {
     /** Handles the complete list of objects. Called at the start and whenever the watch history has expired. */
     handleListing(list: ObjectList): void;
     handleChange(object: StoredObject): void;
@@ -20,34 +20,34 @@
 }
 
 /** Keeps a handler up to date with all objects under a prefix: lists them, watches for changes, and lists again when the watch history has expired. */
-export class ObjectFollower {
+export class ObjectWatcher {
     private readonly stopController = new AbortController();
     private revision: number | undefined;
     private consecutiveFailures = 0;
     private outageStartedAt: number | undefined;
     private outageEndedAt = -Infinity;
     private handleRelist: () => void = () => {};
-    private getBatchPause: () => number = () => groupMilliseconds;
+    private getBatchPause: () => number = () => batchPauseMilliseconds;
 
     private constructor(
         private readonly store: ObjectStore,
         private readonly prefix: string,
-        private readonly handler: ObjectHandler,
+        private readonly handler: ObjectChangeHandler,
         private readonly clock: Clock,
         private readonly log: EventLog,
     ) {}
 
-    static create(store: ObjectStore, prefix: string, handler: ObjectHandler, clock: Clock, log: EventLog): ObjectFollower {
-        return new ObjectFollower(store, prefix, handler, clock, log);
+    static create(store: ObjectStore, prefix: string, handler: ObjectChangeHandler, clock: Clock, log: EventLog): ObjectWatcher {
+        return new ObjectWatcher(store, prefix, handler, clock, log);
     }
 
     /** Sets a function that is called after each complete list, so that peers whose watches missed the same changes can be sent them. */
-    setLateNewsHandler(handleRelist: () => void): void {
+    setRelistHandler(handleRelist: () => void): void {
         this.handleRelist = handleRelist;
     }
 
     /** Sets the function that returns the pause after a batch of changes, in milliseconds. The pause is longer where the changes also arrive by another path, such as a relay. */
-    setGroupPause(getBatchPause: () => number): void {
+    setBatchPauseSource(getBatchPause: () => number): void {
         this.getBatchPause = getBatchPause;
     }
 
@@ -74,12 +74,12 @@
     }
 
     /** Returns whether the objects have been listed and the last call to the store succeeded. */
-    isCurrent(): boolean {
+    isSynchronized(): boolean {
         return this.revision !== undefined && this.outageStartedAt === undefined;
     }
 
     /** Returns the monotonic time in milliseconds at which the last outage ended, or -Infinity if there was no outage. */
-    getRegainedAt(): number {
+    getOutageEndedAt(): number {
         return this.outageEndedAt;
     }
 
--- a/src/quotas/retryAllowance.ts
+++ b/src/quotas/fleetRetryBudget.ts
@@ -23,14 +23,14 @@
  * Limits the retries to each service over all nodes without a shared counter. A node may retry in proportion to its own
  * requests plus an equal part of the slack, so the sum over all nodes stays within the limit.
  */
-export class RetryAllowance {
+export class FleetRetryBudget {
     private readonly services = new Map<string, ServiceTimes>();
     private nodeCount = 1;
 
     private constructor(private readonly clock: Clock, private readonly settings: FleetRetryBudgetSettings) {}
 
-    static create(clock: Clock, settings: FleetRetryBudgetSettings): RetryAllowance {
-        return new RetryAllowance(clock, settings);
+    static create(clock: Clock, settings: FleetRetryBudgetSettings): FleetRetryBudget {
+        return new FleetRetryBudget(clock, settings);
     }
 
     /** Sets how many nodes share the slack. */
@@ -44,7 +44,7 @@
     }
 
     /** Takes one retry from the service's budget; returns false, taking nothing, when the budget is exhausted. */
-    takeRepeat(service: string): boolean {
+    takeRetry(service: string): boolean {
         const counts = this.getRecentTimes(service);
         const allowed = counts.requests.length * this.settings.ratio + this.settings.slack / this.nodeCount;
         if (counts.retries.length + 1 > allowed * usedBudgetShare) {
--- a/src/quotas/sharedLimits.test.ts
+++ b/src/quotas/sharedLimits.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { SeededRandom } from "../common/random.js";
 import { VirtualClock } from "../testing/virtualClock.js";
-import { RetryAllowance } from "./retryAllowance.js";
+import { FleetRetryBudget } from "./fleetRetryBudget.js";
 import { SharedRateLimiter } from "./sharedRateLimiter.js";
 
 const nodeCount = 7;
@@ -42,7 +42,7 @@
 function exchangeDemands(limiters: readonly SharedRateLimiter[]): void {
     limiters.forEach((limiter, from) => {
         for (const demand of limiter.listDemands()) {
-            limiters.filter((_other, to) => to !== from).forEach(other => other.recordOtherDemand(demand, `node-${from}`));
+            limiters.filter((_other, to) => to !== from).forEach(other => other.recordPeerDemand(demand, `node-${from}`));
         }
     });
 }
@@ -106,16 +106,16 @@
     const clock = VirtualClock.create();
     const random = SeededRandom.create(3);
     const settings = { ratio: 0.2, window: 10_000, slack: 54 };
-    const budgets = Array.from({ length: nodeCount }, () => RetryAllowance.create(clock, settings));
+    const budgets = Array.from({ length: nodeCount }, () => FleetRetryBudget.create(clock, settings));
     budgets.forEach(budget => budget.setNodeCount(nodeCount));
     const requests: number[] = [];
     const retries: number[] = [];
     for (let step = 0; step < 4_000; step += 1) {
         await clock.runUntil(step * 10);
-        const budget = budgets[random.pickIndex(nodeCount)] as RetryAllowance;
+        const budget = budgets[random.pickIndex(nodeCount)] as FleetRetryBudget;
         budget.recordRequest("desk");
         requests.push(step * 10);
-        if (budget.takeRepeat("desk")) {
+        if (budget.takeRetry("desk")) {
             retries.push(step * 10);
         }
     }
--- a/src/quotas/sharedRateLimiter.ts
+++ b/src/quotas/sharedRateLimiter.ts
@@ -154,13 +154,13 @@
     }
 
     /** Replaces the demand for a limit that a peer, or a group of nodes, reports. */
-    recordOtherDemand(demand: RateDemand, source: string): void {
+    recordPeerDemand(demand: RateDemand, source: string): void {
         const now = this.clock.getMonotonicTime();
         this.getBucket(demand.name, now).peerDemands.set(source, { ...demand, at: now });
     }
 
     /** Removes the sources that the predicate rejects, because another source's sum includes their nodes. */
-    removeOthers(isKept: (source: string) => boolean): void {
+    removeSources(isKept: (source: string) => boolean): void {
         for (const { peerDemands } of this.buckets.values()) {
             [...peerDemands.keys()].filter(source => !isKept(source)).forEach(source => peerDemands.delete(source));
         }
--- a/src/replay/embeddedTarget.ts
+++ b/src/replay/embeddedTarget.ts
@@ -287,7 +287,7 @@
             const records = this.deployment.platform.writeLog.filter(write => write.name === name);
             const ended = records.find(write => (write.value as MoveRecord).state !== MoveState.Running);
             const state = (ended?.value as MoveRecord | undefined)?.state ?? MoveState.Running;
-            const shares = this.deployment.nodes.map(node => node.container.get(Keys.Moves).getCurrentShare(move.service));
+            const shares = this.deployment.nodes.map(node => node.container.get(Keys.MoveController).getCurrentShare(move.service));
             const expectedShare = state === MoveState.Completed ? 1 : 0;
             return {
                 service: move.service,
--- a/src/requests/commands/attemptRun.ts
+++ b/src/requests/commands/attemptRun.ts
@@ -11,7 +11,7 @@
 import { ActiveAttempt, EndpointEntry } from "../endpointRegistry.js";
 import { RequestRecord } from "../requestRecord.js";
 import { AttemptOutcome, AttemptRecord } from "../types.js";
-import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerDependencies } from "./modelRequestParts.js";
+import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerDependencies } from "./modelRequestDependencies.js";
 
 /** Tokens that an attempt of a suspect request must emit before the request is cleared of the earlier crash. */
 const probationTokenCount = 8;
@@ -97,7 +97,7 @@
     appendToken(text: string): void {
         const now = this.dependencies.clock.getMonotonicTime();
         if (!this.request.appendToken(this.record.attemptId, text)) {
-            this.dependencies.metrics.lateAnswers.inc({ service: this.service.name });
+            this.dependencies.metrics.staleResponses.inc({ service: this.service.name });
             return;
         }
         this.emittedCount += 1;
--- a/src/requests/commands/draftStore.ts
+++ b/src/requests/commands/draftStore.ts
@@ -221,12 +221,12 @@
 }
 
 function createStoredFailure(stored: StoredDraft): Failure {
-    const message = findMessage(stored.failure_code);
+    const message = findDiagnosticMessage(stored.failure_code);
     return Failure.createFormatted(stored.failure_verdict ?? Verdict.MayHaveRun, message, stored.failure_text ?? message.text);
 }
 
 /** Returns the diagnostic with a code, or the lost-connection diagnostic if this program version does not define the code. */
-export function findMessage(code: number | undefined): DiagnosticMessage {
+export function findDiagnosticMessage(code: number | undefined): DiagnosticMessage {
     const messages: DiagnosticMessage[] = Object.values(Diagnostics);
     return messages.find(message => message.code === code) ?? Diagnostics.Connection_was_lost_after_the_request_was_sent_0;
 }
--- a/src/requests/commands/endpointProbe.ts
+++ b/src/requests/commands/endpointProbe.ts
@@ -57,7 +57,7 @@
             return ProbeResult.Reachable;
         }
         const hasCrashed = load.val.verdict === Verdict.NotRun;
-        this.registry.recordFailure(entry, hasCrashed ? EndpointEvidence.Death : EndpointEvidence.ConnectionFailure);
+        this.registry.recordFailure(entry, hasCrashed ? EndpointEvidence.Crash : EndpointEvidence.ConnectionFailure);
         if (!hasCrashed) {
             return ProbeResult.Unreachable;
         }
@@ -77,7 +77,7 @@
         const lockHolders = possibleCauses.filter(attempt => attempt.holdsSuspectLock);
         const assumedCauses = lockHolders.length > 0 ? lockHolders : possibleCauses;
         for (const attempt of assumedCauses) {
-            this.ledger.recordDeath(attempt.fingerprint, entry.name);
+            this.ledger.recordCrash(attempt.fingerprint, entry.name);
         }
         if (assumedCauses.length > 0) {
             await this.notifier.sendUrgentDigest();
--- a/src/requests/commands/loadObserver.ts
+++ b/src/requests/commands/loadObserver.ts
@@ -1,5 +1,5 @@
 import { Clock } from "../../common/clock.js";
-import { selectByRendezvous } from "../../common/hashing.js";
+import { listByRendezvousRank } from "../../common/hashing.js";
 import { ModelEndpointClient } from "../../endpoints/modelEndpoint.js";
 import { MemberDirectory } from "../../peers/memberDirectory.js";
 import { EndpointEntry, EndpointRegistry } from "../endpointRegistry.js";
@@ -40,7 +40,7 @@
     /** Polls once per interval until stop is called. */
     async runRounds(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            this.registry.setObserverCount(this.directory.listLiveDomainMembers().length + 1);
+            this.registry.setObserverCount(this.directory.listReachableDomainMembers().length + 1);
             for (const entry of this.listObserved()) {
                 // Not awaited: an endpoint that does not respond must not delay the polls of the others.
                 void this.pollEndpoint(entry);
@@ -57,12 +57,12 @@
     /** Returns the endpoints of this failure domain that rendezvous hashing assigns to this node. */
     listObserved(): EndpointEntry[] {
         const { identity } = this.directory;
-        const observers = [identity.name, ...this.directory.listLiveDomainMembers().map(member => member.name)];
+        const observers = [identity.name, ...this.directory.listReachableDomainMembers().map(member => member.name)];
         return this.registry.listEntries().filter(entry => {
             if (entry.description.failureDomain !== identity.failureDomain) {
                 return false;
             }
-            const chosen = selectByRendezvous(entry.name, observers, name => name).slice(0, observersPerEndpoint);
+            const chosen = listByRendezvousRank(entry.name, observers, name => name).slice(0, observersPerEndpoint);
             return chosen.includes(identity.name);
         });
     }
--- a/src/requests/commands/modelRequestParts.ts
+++ b/src/requests/commands/modelRequestDependencies.ts
@@ -8,11 +8,11 @@
 import { PrefixIndex } from "../prefixIndex.js";
 import { QuarantineLedger } from "../quarantineLedger.js";
 import { RetryBudget } from "../retryBudget.js";
-import { SuspectLanes } from "../suspectLanes.js";
+import { SuspectLocks } from "../suspectLocks.js";
 import { VersionObserver, VersionPolicy } from "../types.js";
 import { AdmissionQueue } from "./admissionQueue.js";
 import { EndpointProbe } from "./endpointProbe.js";
-import { ShadowRunner } from "./shadowRunner.js";
+import { ShadowRequestRunner } from "./shadowRequestRunner.js";
 
 /** Time limit for exporting the KV cache of one attempt. */
 export const exportTimeLimitMilliseconds = 500;
@@ -31,11 +31,11 @@
     readonly client: ModelEndpointClient;
     readonly probe: EndpointProbe;
     readonly ledger: QuarantineLedger;
-    readonly lanes: SuspectLanes;
+    readonly suspectLocks: SuspectLocks;
     readonly budget: RetryBudget;
     readonly prefixIndex: PrefixIndex;
     readonly versions: VersionPolicy;
     readonly observer: VersionObserver;
-    readonly shadows: ShadowRunner;
+    readonly shadowRunner: ShadowRequestRunner;
     readonly connectTimeout: number;
 }
--- a/src/requests/commands/modelRequestRunner.ts
+++ b/src/requests/commands/modelRequestRunner.ts
@@ -1,6 +1,6 @@
 import { ServiceDeclaration } from "../../config/types.js";
 import { RequestRecord } from "../requestRecord.js";
-import { ModelRequestRunnerDependencies } from "./modelRequestParts.js";
+import { ModelRequestRunnerDependencies } from "./modelRequestDependencies.js";
 import { RequestRun } from "./requestRun.js";
 
 /** Runs each generation to its end with successive attempts, each of which continues after the tokens of the previous one. */
@@ -15,7 +15,7 @@
     async runRequest(record: RequestRecord, service: ServiceDeclaration): Promise<void> {
         this.dependencies.budget.recordRequest();
         const run = RequestRun.create(this.dependencies, record, service);
-        void this.dependencies.shadows.sendShadowRequests(record.request, service, run.version);
+        void this.dependencies.shadowRunner.sendShadowRequests(record.request, service, run.version);
         try {
             await run.runAttempts();
         }
--- a/src/requests/commands/plainCallRunner.ts
+++ b/src/requests/commands/plainCallRunner.ts
@@ -10,7 +10,7 @@
 import { ConfigurationSet } from "../../config/configurationSet.js";
 import { ServiceDeclaration } from "../../config/types.js";
 import { PlainEndpointClient } from "../../endpoints/plainEndpoint.js";
-import { EndpointEvidence, PlainAnswer } from "../../endpoints/types.js";
+import { EndpointEvidence, PlainResponse } from "../../endpoints/types.js";
 import { EndpointEntry, EndpointRegistry } from "../endpointRegistry.js";
 import { QuarantineLedger } from "../quarantineLedger.js";
 import { listPossibleEndpoints } from "../queries/endpointSelector.js";
@@ -28,7 +28,7 @@
 
 /** Response of a call, and whether the call ran now or earlier. */
 export interface PlainCallResult {
-    readonly answer: PlainAnswer;
+    readonly answer: PlainResponse;
     /** Whether the response is the stored response of an earlier call with the same key. */
     readonly isReplayed: boolean;
 }
@@ -63,7 +63,7 @@
 
 /** Result of one attempt: a response of any status, or the failure. */
 interface CallAttempt {
-    readonly response?: PlainAnswer;
+    readonly response?: PlainResponse;
     readonly failure?: Failure;
 }
 
@@ -85,7 +85,7 @@
         isForwarded = false,
     ): Promise<Result<PlainCallResult, Failure>> {
         if (this.dependencies.ledger.isQuarantined(request.fingerprint)) {
-            const crashCount = this.dependencies.ledger.countDeaths(request.fingerprint);
+            const crashCount = this.dependencies.ledger.countCrashes(request.fingerprint);
             this.dependencies.metrics.quarantines.inc({ service: service.name });
             return Err(Failure.create(Verdict.NotRun, Diagnostics.Request_is_quarantined_after_0_endpoint_failures, crashCount));
         }
@@ -124,7 +124,7 @@
         switch (claimed.outcome) {
             case ClaimOutcome.ResponseStored:
                 history.verdict = Verdict.Ran;
-                return Ok({ answer: claimed.response as PlainAnswer, isReplayed: true });
+                return Ok({ answer: claimed.response as PlainResponse, isReplayed: true });
             case ClaimOutcome.Refused:
                 return Err(claimed.failure as Failure);
             case ClaimOutcome.PlatformUnreachable:
@@ -184,7 +184,7 @@
         history: RequestHistory,
         span: Span,
         signal: AbortSignal,
-    ): Promise<Result<PlainAnswer, Failure>> {
+    ): Promise<Result<PlainResponse, Failure>> {
         const excluded = new Set<string>();
         const version = this.dependencies.versions.selectVersion(service, request.id);
         for (let count = 0; count < attemptLimit; count += 1) {
@@ -326,7 +326,7 @@
         const { registry, probe } = this.dependencies;
         switch (failure.message.code) {
             case Diagnostics.Endpoint_is_leaving.code:
-                registry.markLeaving(entry.name, EndpointEvidence.OwnRefusal, undefined);
+                registry.markLeaving(entry.name, EndpointEvidence.LocalRefusal, undefined);
                 return;
             case Diagnostics.Endpoint_refused_the_connection_0.code:
                 if (!signal.aborted) {
--- a/src/requests/commands/handOver.ts
+++ b/src/requests/commands/requestHandover.ts
@@ -1,4 +1,4 @@
-import { selectByRendezvous } from "../../common/hashing.js";
+import { listByRendezvousRank } from "../../common/hashing.js";
 import { Logger } from "../../common/logging.js";
 import { Metrics } from "../../common/metrics.js";
 import { MemberDirectory } from "../../peers/memberDirectory.js";
@@ -11,7 +11,7 @@
 const handoverPeerLimit = 3;
 
 /** Hands over this node's running requests to peers when the node shuts down. */
-export class HandOver {
+export class RequestHandover {
     private constructor(
         private readonly table: RequestTable,
         private readonly directory: MemberDirectory,
@@ -20,8 +20,8 @@
         private readonly logger: Logger,
     ) {}
 
-    static create(table: RequestTable, directory: MemberDirectory, link: PeerLink, metrics: Metrics, logger: Logger): HandOver {
-        return new HandOver(table, directory, link, metrics, logger);
+    static create(table: RequestTable, directory: MemberDirectory, link: PeerLink, metrics: Metrics, logger: Logger): RequestHandover {
+        return new RequestHandover(table, directory, link, metrics, logger);
     }
 
     /** Hands over every running request; returns the number of requests that no peer adopted. */
@@ -57,7 +57,7 @@
 
     /** Returns the domain's peers for a request by rendezvous hashing, the order in which any node searches for the request. */
     private pickPeers(requestId: string): Member[] {
-        const reachablePeers = this.directory.listLiveDomainMembers();
-        return selectByRendezvous(requestId, reachablePeers, member => member.name).slice(0, handoverPeerLimit);
+        const reachablePeers = this.directory.listReachableDomainMembers();
+        return listByRendezvousRank(requestId, reachablePeers, member => member.name).slice(0, handoverPeerLimit);
     }
 }
--- a/src/requests/commands/requestRun.ts
+++ b/src/requests/commands/requestRun.ts
@@ -1,6 +1,6 @@
 import { Diagnostics } from "../../common/diagnostics.js";
 import { Failure } from "../../common/failure.js";
-import { selectByRendezvous } from "../../common/hashing.js";
+import { listByRendezvousRank } from "../../common/hashing.js";
 import { Err, Ok, Result } from "../../common/results.js";
 import { Verdict } from "../../common/verdict.js";
 import { ServiceDeclaration } from "../../config/types.js";
@@ -12,7 +12,7 @@
 import { AttemptOutcome, RequestOutcome } from "../types.js";
 import { AttemptRun } from "./attemptRun.js";
 import { ProbeResult } from "./endpointProbe.js";
-import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerDependencies } from "./modelRequestParts.js";
+import { charactersPerToken, exportTimeLimitMilliseconds, ModelRequestRunnerDependencies } from "./modelRequestDependencies.js";
 
 /** Maximum number of attempts of one request, including those that cost no retry. */
 const attemptLimit = 12;
@@ -127,11 +127,11 @@
             return;
         }
         if (this.record.isHandedOver) {
-            this.record.finishWithoutAnswer(RequestOutcome.HandedOver);
+            this.record.finishWithoutResponse(RequestOutcome.HandedOver);
             return;
         }
         if (this.record.cancellation.signal.aborted) {
-            this.record.finishWithoutAnswer(RequestOutcome.Cancelled);
+            this.record.finishWithoutResponse(RequestOutcome.Cancelled);
             return;
         }
         this.record.finishWithFailure(
@@ -154,7 +154,7 @@
         return Failure.create(
             Verdict.NotRun,
             Diagnostics.Request_is_quarantined_after_0_endpoint_failures,
-            ledger.countDeaths(fingerprint),
+            ledger.countCrashes(fingerprint),
         );
     }
 
@@ -191,18 +191,18 @@
         const { dependencies, record } = this;
         for (;;) {
             const possible = listPossibleEndpoints(dependencies.registry, this.createQuery(undefined));
-            const chosen = selectByRendezvous(record.request.fingerprint, possible, entry => entry.name)[0];
+            const chosen = listByRendezvousRank(record.request.fingerprint, possible, entry => entry.name)[0];
             if (chosen === undefined) {
                 const slot = await this.acquireSlot(undefined);
                 return slot.map(entry => ({ entry, releaseLock: undefined }));
             }
-            const releaseLock = await dependencies.lanes.acquireLock(chosen.name);
+            const releaseLock = await dependencies.suspectLocks.acquireLock(chosen.name);
             const refusal = this.checkQuarantine();
             if (refusal !== undefined || this.isEnded()) {
                 releaseLock();
                 return Err(refusal ?? Failure.create(Verdict.NotRun, Diagnostics.Caller_closed_the_connection));
             }
-            if (chosen.state === EndpointState.Leaving || chosen.state === EndpointState.Gone || this.excluded.has(chosen.name)) {
+            if (chosen.state === EndpointState.Leaving || chosen.state === EndpointState.Removed || this.excluded.has(chosen.name)) {
                 releaseLock();
                 continue;
             }
@@ -289,7 +289,7 @@
         logger.debug("attempt failed", { request: this.record.request.id, endpoint: entry.name, text: failure.text });
         switch (failure.message.code) {
             case Diagnostics.Endpoint_is_leaving.code:
-                registry.markLeaving(entry.name, EndpointEvidence.OwnRefusal, undefined);
+                registry.markLeaving(entry.name, EndpointEvidence.LocalRefusal, undefined);
                 return { reason: ContinueReason.Resume, failure };
             case Diagnostics.Endpoint_refused_the_connection_0.code:
                 registry.recordFailure(entry, EndpointEvidence.ConnectionFailure);
@@ -304,7 +304,7 @@
                 this.excluded.add(entry.name);
                 return { reason: ContinueReason.Retry, failure };
             case Diagnostics.Endpoint_sent_nothing_for_0_milliseconds.code:
-                metrics.silences.inc({ hop: "endpoint" });
+                metrics.silentConnections.inc({ hop: "endpoint" });
                 return this.handleLostConnection(attempt, failure);
             case Diagnostics.Connection_was_lost_after_the_request_was_sent_0.code:
                 return this.handleLostConnection(attempt, failure);
--- a/src/requests/commands/shadowRunner.test.ts
+++ b/src/requests/commands/shadowRequestRunner.test.ts
@@ -12,7 +12,7 @@
 import { VirtualClock } from "../../testing/virtualClock.js";
 import { EndpointRegistry } from "../endpointRegistry.js";
 import { ModelRequest, VersionObservation } from "../types.js";
-import { ShadowRunner, shadowsPerRequest } from "./shadowRunner.js";
+import { shadowAttemptsPerRequest, ShadowRequestRunner } from "./shadowRequestRunner.js";
 
 /** Runs the shadow attempts of one request, all of which fail with the message; returns the reported observations. */
 async function runFailingShadowRequests(message: DiagnosticMessage): Promise<VersionObservation[]> {
@@ -37,7 +37,7 @@
             return Err(Failure.create(Verdict.MayHaveRun, message, "reset"));
         },
     };
-    const runner = ShadowRunner.create(
+    const runner = ShadowRequestRunner.create(
         client as ModelEndpointClient,
         registry,
         { selectEndpoint: () => registry.findEntry("engine-1") },
@@ -62,6 +62,6 @@
 
 test("a shadow attempt that fails with an HTTP error status is counted against the version", async () => {
     const observations = await runFailingShadowRequests(Diagnostics.Endpoint_failed_with_status_0);
-    assert.equal(observations.length, shadowsPerRequest);
+    assert.equal(observations.length, shadowAttemptsPerRequest);
     observations.forEach(observation => assert.equal(observation.succeeded, false));
 });
--- a/src/requests/commands/shadowRunner.ts
+++ b/src/requests/commands/shadowRequestRunner.ts
@@ -12,7 +12,7 @@
 const concurrentShadowLimit = 8;
 const shadowPriority = 3;
 /** Shadow attempts per request. More attempts decide an evaluation sooner, which matters if a version fails only for some requests. */
-export const shadowsPerRequest = 2;
+export const shadowAttemptsPerRequest = 2;
 
 /** Chooses the version under evaluation that receives shadow requests. */
 export interface ShadowPolicy {
@@ -24,7 +24,7 @@
  * Sends copies of requests to a version under evaluation and drops the responses, so that the version can be evaluated
  * within seconds without affecting a caller. Copies only generations, which are idempotent, and only while slots are free.
  */
-export class ShadowRunner {
+export class ShadowRequestRunner {
     private running = 0;
 
     private constructor(
@@ -47,13 +47,13 @@
         clock: Clock,
         metrics: Metrics,
         connectTimeout: number,
-    ): ShadowRunner {
-        return new ShadowRunner(client, registry, selector, policy, observer, clock, metrics, connectTimeout);
+    ): ShadowRequestRunner {
+        return new ShadowRequestRunner(client, registry, selector, policy, observer, clock, metrics, connectTimeout);
     }
 
     /** Sends shadow requests to the version under evaluation, unless there is none or it serves the request itself. */
     async sendShadowRequests(request: ModelRequest, service: ServiceDeclaration, servedBy: string): Promise<void> {
-        const attempts = Array.from({ length: shadowsPerRequest }, () => this.sendShadowRequest(request, service, servedBy));
+        const attempts = Array.from({ length: shadowAttemptsPerRequest }, () => this.sendShadowRequest(request, service, servedBy));
         await Promise.all(attempts);
     }
 
--- a/src/requests/commands/teamLimiter.ts
+++ b/src/requests/commands/teamLimiter.ts
@@ -36,8 +36,8 @@
     }
 
     /** Records the demand for a team that another node reported, in requests per second. */
-    recordOtherDemand(team: string, node: string, demand: number): void {
-        this.limiter.recordOtherDemand({ name: team, demand, passed: 0, nodes: 1 }, node);
+    recordPeerDemand(team: string, node: string, demand: number): void {
+        this.limiter.recordPeerDemand({ name: team, demand, passed: 0, nodes: 1 }, node);
     }
 
     /** Returns the demand that this node measured for each team, in requests per second. */
--- a/src/requests/endpointRegistry.ts
+++ b/src/requests/endpointRegistry.ts
@@ -1,6 +1,6 @@
 import { Clock } from "../common/clock.js";
-import { checkInvariant } from "../common/debug.js";
 import { hashToNumber } from "../common/hashing.js";
+import { checkInvariant } from "../common/invariant.js";
 import { Logger } from "../common/logging.js";
 import { Metrics } from "../common/metrics.js";
 import { EndpointDescription, EndpointEvidence, EndpointState, LoadReport } from "../endpoints/types.js";
@@ -40,7 +40,7 @@
     readonly limit: ConcurrencyLimit;
     load: LoadReport | undefined;
     /** Monotonic time of the load report, in milliseconds. */
-    loadAt: number;
+    loadReportedAt: number;
     /** Attempts that this node ran at the endpoint when the load report was recorded. */
     localRunningAtReport: number;
     /** Consecutive failures. */
@@ -166,7 +166,7 @@
             return assumedAttempts;
         }
         const reportedAttempts = Math.max(0, entry.load.running + entry.load.waiting - entry.localRunningAtReport);
-        const weight = Math.exp(-(this.clock.getMonotonicTime() - entry.loadAt) / loadDecayMilliseconds);
+        const weight = Math.exp(-(this.clock.getMonotonicTime() - entry.loadReportedAt) / loadDecayMilliseconds);
         return reportedAttempts * weight + assumedAttempts * (1 - weight);
     }
 
@@ -179,7 +179,7 @@
     recordLoad(name: string, load: LoadReport, age: number): void {
         const entry = this.entries.get(name);
         const reportedAt = this.clock.getMonotonicTime() - age;
-        if (entry === undefined || reportedAt <= entry.loadAt) {
+        if (entry === undefined || reportedAt <= entry.loadReportedAt) {
             return;
         }
         if (entry.load === undefined) {
@@ -187,7 +187,7 @@
             entry.limit.raiseToEstimate(load.capacity / this.observerCount);
         }
         entry.load = load;
-        entry.loadAt = reportedAt;
+        entry.loadReportedAt = reportedAt;
         entry.localRunningAtReport = entry.running;
         entry.limit.setMaximum(Math.min(this.maximumConcurrency, load.capacity));
         if (load.waiting > load.capacity * waitingShareLimit) {
@@ -195,7 +195,7 @@
             entry.limit.recordRefusal(this.clock.getMonotonicTime());
         }
         if (load.leaving) {
-            this.markLeaving(name, EndpointEvidence.OwnRefusal, undefined);
+            this.markLeaving(name, EndpointEvidence.LocalRefusal, undefined);
         }
         else if (this.hasWithdrawnLeaving(entry)) {
             this.setState(entry, EndpointState.Live, EndpointEvidence.Probe);
@@ -209,7 +209,7 @@
     /** Marks an endpoint as leaving and keeps the first evidence. The removal time is in Unix milliseconds, undefined if unknown. */
     markLeaving(name: string, evidence: EndpointEvidence, leavesAt: number | undefined): void {
         const entry = this.entries.get(name);
-        if (entry === undefined || entry.state === EndpointState.Gone) {
+        if (entry === undefined || entry.state === EndpointState.Removed) {
             return;
         }
         entry.leavesAt = leavesAt ?? entry.leavesAt;
@@ -260,7 +260,7 @@
 
     /** Returns whether an endpoint that refused an attempt as leaving, but whose removal was never announced, may be live again. */
     private hasWithdrawnLeaving(entry: EndpointEntry): boolean {
-        const isByRefusal = entry.state === EndpointState.Leaving && entry.evidence === EndpointEvidence.OwnRefusal;
+        const isByRefusal = entry.state === EndpointState.Leaving && entry.evidence === EndpointEvidence.LocalRefusal;
         const isListedLive = entry.leavesAt === undefined && entry.description.state === HostState.Live;
         return isByRefusal && isListedLive && this.clock.getWallTime() - entry.since > leavingRefusalRetentionMilliseconds;
     }
@@ -288,7 +288,7 @@
             running: 0,
             limit: ConcurrencyLimit.create(defaultCapacity, this.maximumConcurrency),
             load: undefined,
-            loadAt: -Infinity,
+            loadReportedAt: -Infinity,
             localRunningAtReport: 0,
             failures: 0,
             suspectUntil: 0,
@@ -302,8 +302,8 @@
     private removeEntry(entry: EndpointEntry): void {
         this.removedUntilByName.set(entry.name, this.clock.getMonotonicTime() + removedEndpointRetentionMilliseconds);
         this.markLeaving(entry.name, EndpointEvidence.HostList, this.clock.getWallTime());
-        this.setState(entry, EndpointState.Gone, EndpointEvidence.HostList);
-        this.metrics.endpointState.remove({ endpoint: entry.name, state: EndpointState.Gone });
+        this.setState(entry, EndpointState.Removed, EndpointEvidence.HostList);
+        this.metrics.endpointState.remove({ endpoint: entry.name, state: EndpointState.Removed });
         this.entries.delete(entry.name);
         this.removeExpiredRemovals();
     }
--- a/src/requests/quarantineLedger.ts
+++ b/src/requests/quarantineLedger.ts
@@ -42,7 +42,7 @@
     }
 
     /** Counts the crash of an endpoint against a fingerprint. */
-    recordDeath(fingerprint: string, endpoint: string): void {
+    recordCrash(fingerprint: string, endpoint: string): void {
         this.mergeRecord({ fingerprint, endpoints: [endpoint], until: this.clock.getWallTime() + this.retentionMilliseconds });
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Clears a request of crashes of the given endpoints: the request was served, so the crashes had another cause. */
-    removeDeaths(fingerprint: string, endpoints: readonly string[]): void {
+    removeCrashes(fingerprint: string, endpoints: readonly string[]): void {
         const entry = this.entries.get(fingerprint) ?? this.addEntry(fingerprint);
         entry.until = Math.max(entry.until, this.clock.getWallTime() + this.retentionMilliseconds);
         endpoints.forEach(endpoint => {
@@ -79,14 +79,14 @@
     }
 
     /** Returns the crashes that requests were cleared of, for peers that still count them. */
-    listCleared(): Omit<FingerprintRecord, "until">[] {
+    listClearedCrashes(): Omit<FingerprintRecord, "until">[] {
         return [...this.entries]
             .filter(([, entry]) => entry.cleared.size > 0 && entry.until > this.clock.getWallTime())
             .map(([fingerprint, entry]) => ({ fingerprint, endpoints: [...entry.cleared] }));
     }
 
     /** Returns the endpoints whose crashes are counted against a request. */
-    listDeaths(fingerprint: string): string[] {
+    listCrashedEndpoints(fingerprint: string): string[] {
         return [...this.findUnexpired(fingerprint)?.endpoints ?? []];
     }
 
@@ -98,13 +98,13 @@
     }
 
     /** Returns the number of crashes counted against a request. */
-    countDeaths(fingerprint: string): number {
+    countCrashes(fingerprint: string): number {
         return this.findUnexpired(fingerprint)?.endpoints.size ?? 0;
     }
 
     /** Returns whether a request is suspect and needs the endpoint's suspect lock to run. */
     isSuspect(fingerprint: string): boolean {
-        return this.countDeaths(fingerprint) > 0;
+        return this.countCrashes(fingerprint) > 0;
     }
 
     /** Returns whether a request is quarantined and must be refused. */
--- a/src/requests/requestRecord.ts
+++ b/src/requests/requestRecord.ts
@@ -138,7 +138,7 @@
     }
 
     /** Ends the record because the request was cancelled or a peer adopted it. */
-    finishWithoutAnswer(outcome: RequestOutcome.Cancelled | RequestOutcome.HandedOver): void {
+    finishWithoutResponse(outcome: RequestOutcome.Cancelled | RequestOutcome.HandedOver): void {
         this.setEnd({ outcome, generation: undefined, failure: undefined });
     }
 
--- a/src/requests/suspectLanes.ts
+++ b/src/requests/suspectLocks.ts
@@ -1,11 +1,11 @@
 /** Holds a lock per endpoint, so that only one suspect request at a time runs there and a second crash has one suspect. */
-export class SuspectLanes {
+export class SuspectLocks {
     private readonly lastReleaseByEndpoint = new Map<string, Promise<void>>();
 
     private constructor() {}
 
-    static create(): SuspectLanes {
-        return new SuspectLanes();
+    static create(): SuspectLocks {
+        return new SuspectLocks();
     }
 
     /** Waits for the lock of an endpoint, first come first served; returns the function that releases it. */
--- a/src/routes/configurationFollower.ts
+++ b/src/routes/configurationFollower.ts
@@ -1,7 +1,7 @@
 import { EventLog } from "../common/eventLog.js";
 import { LogEvents } from "../common/logEvents.js";
 import { Result } from "../common/results.js";
-import { ObjectHandler } from "../provider/objectFollower.js";
+import { ObjectChangeHandler } from "../provider/objectWatcher.js";
 import { ObjectList, StoredObject } from "../provider/types.js";
 import { ConfigurationHolder } from "./configurationHolder.js";
 import { RouteConfiguration } from "./types.js";
@@ -15,7 +15,7 @@
 }
 
 /** Applies the configuration that the operator writes to the store. */
-export class ConfigurationFollower implements ObjectHandler {
+export class ConfigurationFollower implements ObjectChangeHandler {
     private constructor(
         private readonly holder: ConfigurationHolder,
         private readonly decoder: ConfigurationDecoder,
--- a/src/testing/failures/leases.test.ts
+++ b/src/testing/failures/leases.test.ts
@@ -5,7 +5,7 @@
 import { SeededRandom } from "../../common/random.js";
 import { Err, Ok } from "../../common/results.js";
 import { Verdict } from "../../common/verdict.js";
-import { LeaseKeeper } from "../../control/commands/leaseKeeper.js";
+import { LeaseManager } from "../../control/commands/leaseManager.js";
 import { OrderSender, orderTimeLimitMilliseconds } from "../../control/commands/orderSender.js";
 import { ModelEndpointClient } from "../../endpoints/modelEndpoint.js";
 import { EndpointDescription } from "../../endpoints/types.js";
@@ -62,18 +62,18 @@
     const endpoint = new RecordingEndpoint(checksFencing);
     const clocks: PausableClock[] = [];
     const stores: MemoryObjectStore[] = [];
-    const leases: LeaseKeeper[] = [];
+    const leases: LeaseManager[] = [];
     const stopping = new AbortController();
     for (let index = 0; index < candidates; index += 1) {
         const clock = PausableClock.create(world);
         const store = MemoryObjectStore.create(objects, world, clock, SeededRandom.create(seed * 10 + index));
-        const lease = LeaseKeeper.create(
+        const lease = LeaseManager.create(
             store,
             clock,
             { name: `node-${index}`, incarnation: 1 },
             "leases/test",
             term,
-            { recordTaken: () => {} },
+            { recordAcquisition: () => {} },
         );
         const client = createClient(endpoint, index, world, clock, SeededRandom.create(seed * 10 + index + 5), checksFencing);
         const sender = OrderSender.create(client, lease, clock, () => checksFencing);
@@ -173,13 +173,13 @@
     const clocks = [0, 1].map(() => PausableClock.create(world));
     const leases = clocks.map((clock, index) => {
         const store = MemoryObjectStore.create(objects, world, clock, SeededRandom.create(index + 1));
-        return LeaseKeeper.create(
+        return LeaseManager.create(
             store,
             clock,
             { name: `node-${index}`, incarnation: 1 },
             "leases/test",
             term,
-            { recordTaken: () => {} },
+            { recordAcquisition: () => {} },
         );
     });
     void leases[0]?.runRounds();
@@ -192,7 +192,7 @@
     await world.runUntil(10_000 + 3 * term);
     const second = leases[1]?.getGrant();
     assert.ok(second !== undefined && second.fencing > fencing, "the second node has taken over");
-    const wait = (leases[1]?.getSuccessorWait() ?? 0) + orderTimeLimitMilliseconds;
+    const wait = (leases[1]?.getPreviousHolderTimeout() ?? 0) + orderTimeLimitMilliseconds;
     assert.ok(wait < 2 * term, "a pause shorter than the successor's wait does no harm");
     endpoint.acceptOrder(1, second.fencing);
     assert.equal(endpoint.acceptOrder(0, fencing), true, "beyond the bound the endpoint cannot tell");
--- a/src/testing/failures/moves.test.ts
+++ b/src/testing/failures/moves.test.ts
@@ -52,8 +52,8 @@
         assert.notEqual(outcome.record.reason, MoveReason.Started, `seed ${seed}: the account names a reason`);
     }
     for (const node of fleet.nodes) {
-        const share = node.container.get(Keys.Moves).getCurrentShare("lookup");
-        const known = node.container.get(Keys.Moves).findRecord("lookup")?.state;
+        const share = node.container.get(Keys.MoveController).getCurrentShare("lookup");
+        const known = node.container.get(Keys.MoveController).findRecord("lookup")?.state;
         assert.equal(known, state, `seed ${seed}: ${node.name} says ${known}, the platform ${state}`);
         assert.equal(share, state === MoveState.Completed ? 1 : 0, `seed ${seed}: ${node.name} serves a share of ${share}`);
     }
@@ -107,7 +107,7 @@
             current.fleet.nodes.forEach(node => (node.store.faults.isDown = true));
         }
     });
-    const shares = world.fleet.nodes.map(node => node.container.get(Keys.Moves).getCurrentShare("lookup"));
+    const shares = world.fleet.nodes.map(node => node.container.get(Keys.MoveController).getCurrentShare("lookup"));
     assert.deepEqual(shares, [0, 0, 0, 0]);
     assert.equal(outcome.record.state, MoveState.Running, "the platform has not come back yet");
 });
--- a/src/testing/gatewayParts.ts
+++ b/src/testing/gatewayParts.ts
@@ -56,8 +56,8 @@
         timeLeft: 15_000,
         objective: 1_500,
         rank: 1,
-        tried: new Set(),
-        isBoundStream: false,
+        triedEndpoints: new Set(),
+        isNonResumableStream: false,
         ...parts,
     };
 }
--- a/src/testing/moveWorld.ts
+++ b/src/testing/moveWorld.ts
@@ -5,7 +5,7 @@
 import { createMoveRecord } from "../control/moves/moveDuty.js";
 import { MoveRecord, MoveState, parseMoveRecord } from "../control/moves/moveRecord.js";
 import { Keys } from "../node/keys.js";
-import { shadowsPerRequest } from "../requests/commands/shadowRunner.js";
+import { shadowAttemptsPerRequest } from "../requests/commands/shadowRequestRunner.js";
 import { createTestService, createTestTeam } from "./deployment.js";
 import { VirtualFleet, VirtualNode } from "./virtualFleet.js";
 
@@ -214,7 +214,7 @@
         if (service === undefined) {
             return;
         }
-        const keeper = node.container.get(Keys.Moves);
+        const keeper = node.container.get(Keys.MoveController);
         const bytes = Uint8Array.from({ length: 16 }, () => this.random.pickIndex(256));
         const version = keeper.selectVersion(service, v4({ random: bytes }));
         const isNew = version === "v2";
@@ -224,7 +224,7 @@
         const drawn = pickAttempt(isNew ? this.scenario.kind : VersionKind.Good, this.random, load, team, route, this.newTrials);
         this.newTrials += isNew ? 1 : 0;
         const shadow = isNew ? undefined : keeper.findShadowVersion(service);
-        for (let count = 0; shadow !== undefined && count < shadowsPerRequest; count += 1) {
+        for (let count = 0; shadow !== undefined && count < shadowAttemptsPerRequest; count += 1) {
             const tried = pickAttempt(this.scenario.kind, this.random, load, team, route, this.newTrials);
             this.newTrials += 1;
             const shadowTook = tried.succeeded ? tried.firstToken + tried.betweenTokens * 16 : tried.firstToken;
@@ -253,7 +253,7 @@
         if (!node.isRunning) {
             return;
         }
-        node.container.get(Keys.Moves).recordObservation({
+        node.container.get(Keys.MoveController).recordObservation({
             service: "lookup",
             version,
             team: context.team,
@@ -272,9 +272,9 @@
             return;
         }
         const shares = this.fleet.nodes.filter(node => node.isRunning).map(node =>
-            node.container.get(Keys.Moves).getCurrentShare("lookup")
+            node.container.get(Keys.MoveController).getCurrentShare("lookup")
         );
-        const isTakenBack = this.fleet.nodes.some(node => node.container.get(Keys.Moves).findTakeBack("lookup") !== undefined);
+        const isTakenBack = this.fleet.nodes.some(node => node.container.get(Keys.MoveController).findRollback("lookup") !== undefined);
         if (isTakenBack && shares.every(share => share === 0)) {
             this.zeroShareAt = this.fleet.world.getMonotonicTime();
         }
--- a/src/testing/networkCuts.ts
+++ b/src/testing/networkCuts.ts
@@ -7,7 +7,7 @@
 import { NetworkAddress } from "../config/types.js";
 import { CacheEvents, EngineModels, EngineOrder, ModelEndpointClient, TokenSink } from "../endpoints/modelEndpoint.js";
 import { PlainEndpointClient } from "../endpoints/plainEndpoint.js";
-import { GenerationAttempt, GenerationEnd, LoadReport, PlainAnswer, PlainCall } from "../endpoints/types.js";
+import { GenerationAttempt, GenerationEnd, LoadReport, PlainCall, PlainResponse } from "../endpoints/types.js";
 import {
     AdoptRequestInit,
     ExplainRequestResponse,
@@ -186,7 +186,7 @@
         return new CuttablePlainClient(inner, domain, cuts);
     }
 
-    sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainAnswer, Failure>> {
+    sendCall(address: NetworkAddress, call: PlainCall, signal: AbortSignal): Promise<Result<PlainResponse, Failure>> {
         return this.cuts.runCall(this.domain, address, Verdict.NotRun, () => this.inner.sendCall(address, call, signal));
     }
 }
--- a/src/testing/virtualFleet.ts
+++ b/src/testing/virtualFleet.ts
@@ -101,13 +101,13 @@
         replaceBinding(container, Keys.Logger, createSilentLogger());
         replaceBinding(container, Keys.HostList, { listHosts: async () => Ok(this.listHosts()) });
         replaceBinding(container, Keys.PeerLink, this.createLink(node));
-        container.get(Keys.Digests).setKeeper(container.get(Keys.SharedObjectKeeper));
+        container.get(Keys.Digests).setReplicator(container.get(Keys.SharedObjectReplicator));
         if (existing !== undefined) {
             this.nodes.splice(this.nodes.indexOf(existing), 1);
         }
         this.nodes.push(node);
-        void container.get(Keys.HostListKeeper).runRounds();
-        void container.get(Keys.SharedObjectKeeper).runWatch();
+        void container.get(Keys.HostListSynchronizer).runRounds();
+        void container.get(Keys.SharedObjectReplicator).runWatch();
         void container.get(Keys.Exchange).runRounds();
         void container.get(Keys.FleetLease).runRounds();
         void container.get(Keys.DomainLease).runRounds();
@@ -119,8 +119,8 @@
     killNode(node: VirtualNode): void {
         const { container } = node;
         node.isRunning = false;
-        container.get(Keys.HostListKeeper).stop();
-        container.get(Keys.SharedObjectKeeper).stop();
+        container.get(Keys.HostListSynchronizer).stop();
+        container.get(Keys.SharedObjectReplicator).stop();
         container.get(Keys.Exchange).stop();
         container.get(Keys.FleetLease).stop();
         container.get(Keys.DomainLease).stop();
@@ -199,7 +199,7 @@
                     const request = create(FetchSharedObjectsRequestSchema, { known: [...known] });
                     return create(
                         FetchSharedObjectsResponseSchema,
-                        target.container.get(Keys.PeerHandler).createSharedObjectsAnswer(request.known),
+                        target.container.get(Keys.PeerHandler).createSharedObjectsResponse(request.known),
                     );
                 }),
             adoptRequest: refuse as () => Promise<PeerResult<boolean>>,
--- a/src/usage/usageCounter.ts
+++ b/src/usage/usageCounter.ts
@@ -31,7 +31,7 @@
     }
 
     /** Counts a request that started to run at the given monotonic time. */
-    recordRun(team: string, startedAt: number): void {
+    recordStartedRequest(team: string, startedAt: number): void {
         const age = this.clock.getMonotonicTime() - startedAt;
         const window = this.getWindow(this.clock.getWallTime() - age);
         const counts = this.windows.get(window) ?? new Map<string, number>();
--- a/src/versions/moveSchedule.ts
+++ b/src/versions/moveSchedule.ts
@@ -2,7 +2,7 @@
 import { MoveStage } from "./types.js";
 
 /** Time before the deadline at which a move is completed or rolled back: two rounds of the duty and a slow response of the store. */
-export const settleMarginMilliseconds = 600;
+export const finishMarginMilliseconds = 600;
 /** Time for the old version to finish its short requests: most calls and short streams take less. */
 const shortRequestDrainMilliseconds = 500;
 /** Upper limit of the time for the old version to finish its long streams: a draft of some hundred tokens takes about that. */
@@ -18,9 +18,9 @@
     readonly timeLeft: number;
     /** Attempts at the service since the order, and how many of them were at the new version. */
     readonly attempts: number;
-    readonly exposed: number;
+    readonly exposedAttempts: number;
     /** Attempts of streams that cannot be resumed at another endpoint. */
-    readonly boundStreams: number;
+    readonly nonResumableStreams: number;
 }
 
 /** Number of requests that a bad new version may receive: a share of all requests plus a constant. */
@@ -44,7 +44,7 @@
 
     /** Returns the stage that a move should be in now, provided that there is no finding against the new version. */
     computeStage(progress: MoveProgress): MoveStage {
-        const allStageLeadTime = settleMarginMilliseconds + shortRequestDrainMilliseconds;
+        const allStageLeadTime = finishMarginMilliseconds + shortRequestDrainMilliseconds;
         if (progress.timeLeft <= allStageLeadTime) {
             return MoveStage.All;
         }
@@ -58,8 +58,8 @@
         const elapsed = Math.max(1, progress.duration - progress.timeLeft);
         const rate = progress.attempts / elapsed;
         const expected = progress.attempts + rate * progress.timeLeft;
-        const allowed = this.limit.share * expected + this.limit.slack - progress.exposed - rate * allStageLeadTime;
-        const streamRate = progress.boundStreams / elapsed;
+        const allowed = this.limit.share * expected + this.limit.slack - progress.exposedAttempts - rate * allStageLeadTime;
+        const streamRate = progress.nonResumableStreams / elapsed;
         const affordable = streamRate === 0 ? longStreamDrainMilliseconds : allowed * longStreamExposureFraction / streamRate;
         const longest = Math.min(longStreamDrainMilliseconds, progress.duration * (1 - minimumTrialFraction));
         return Math.min(longest, Math.max(millisecondsPerSecond, affordable));
--- a/src/versions/types.ts
+++ b/src/versions/types.ts
@@ -25,19 +25,19 @@
 }
 
 /** Stored status of a move, written by the duty for operators and the other nodes. */
-export const moveAccountSchema = z.object({
+export const versionMoveStatusSchema = z.object({
     target: z.string(),
     stage: z.enum(MoveStage),
     /** Unix milliseconds. */
     deadline: z.number(),
     reason: z.string(),
 });
-export type MoveAccount = z.infer<typeof moveAccountSchema>;
+export type VersionMoveStatus = z.infer<typeof versionMoveStatusSchema>;
 
 /** An order with its last written status; undefined before the first. */
 export interface DecodedMove {
     readonly order: VersionMoveOrder;
-    readonly account: MoveAccount | undefined;
+    readonly account: VersionMoveStatus | undefined;
 }
 
 /** Decodes move orders from the format in which a deployment stores them. */
@@ -48,9 +48,9 @@
 }
 
 /** Writes the status of moves to the store, where operators read it. */
-export interface MoveAccountStore {
+export interface VersionMoveStatusStore {
     /** Replaces the status of an order if the store still has the object's revision; returns the new revision. */
-    writeAccount(object: StoredObject, account: MoveAccount): Promise<Result<number, WriteFailure>>;
+    writeStatus(object: StoredObject, account: VersionMoveStatus): Promise<Result<number, WriteFailure>>;
 }
 
 /** Whether evidence concerns the old or the new version of a move. */
--- a/src/versions/versionMoves.test.ts
+++ b/src/versions/versionMoves.test.ts
@@ -3,7 +3,7 @@
 import { SilentEventLog } from "../common/eventLog.js";
 import { SeededRandom } from "../common/random.js";
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
-import { PlainVersionMoves } from "../node/bindings/plainDeployment.js";
+import { DefaultVersionMoveStore } from "../node/bindings/defaultDeployment.js";
 import { PlacementQuery } from "../placement/types.js";
 import { createEndpointEntry, createPlacementQuery } from "../testing/gatewayParts.js";
 import { MemoryObjects, MemoryObjectStore } from "../testing/memoryObjectStore.js";
@@ -18,7 +18,7 @@
 
 function createMoves(name = "node-1") {
     const clock = VirtualClock.create();
-    const decoder = PlainVersionMoves.create(MemoryObjectStore.create(MemoryObjects.create(), clock, clock, SeededRandom.create(1)));
+    const decoder = DefaultVersionMoveStore.create(MemoryObjectStore.create(MemoryObjects.create(), clock, clock, SeededRandom.create(1)));
     const moves = VersionMoves.create(decoder, { name, incarnation: 1 }, clock, SilentEventLog.create());
     let revision = 0;
     const publish = (stage?: MoveStage) => {
@@ -62,18 +62,18 @@
     assert.equal(counted.newer > 40 && counted.newer < 130, true, String(counted.newer));
     assert.equal(counted.endpoints.size, 1);
     const [tried] = createEndpoints() as [FleetEndpoint];
-    assert.equal(countVersions(traffic, createPlacementQuery({ tried: new Set([tried]) })).newer, 0);
+    assert.equal(countVersions(traffic, createPlacementQuery({ triedEndpoints: new Set([tried]) })).newer, 0);
 });
 
 test("streams that cannot be resumed move first, then every request, and none after a move was rolled back", () => {
     const { publish, traffic } = createMoves();
     publish(MoveStage.LongStreams);
-    assert.equal(countVersions(traffic, createPlacementQuery({ isBoundStream: true })).older, 0);
+    assert.equal(countVersions(traffic, createPlacementQuery({ isNonResumableStream: true })).older, 0);
     assert.equal(countVersions(traffic, createPlacementQuery({})).newer < 130, true);
     publish(MoveStage.All);
     assert.equal(countVersions(traffic, createPlacementQuery({})).older, 0);
     publish(MoveStage.RolledBack);
-    assert.equal(countVersions(traffic, createPlacementQuery({ isBoundStream: true })).newer, 0);
+    assert.equal(countVersions(traffic, createPlacementQuery({ isNonResumableStream: true })).newer, 0);
     publish(MoveStage.Done);
     assert.equal(countVersions(traffic, createPlacementQuery({})).older, 0);
 });
@@ -126,8 +126,8 @@
             duration: order.duration,
             timeLeft,
             attempts,
-            exposed: attempts * trialShare,
-            boundStreams: attempts * 0.3,
+            exposedAttempts: attempts * trialShare,
+            nonResumableStreams: attempts * 0.3,
         });
     };
     assert.equal(computeStage(13_900), MoveStage.Trial);
--- a/src/versions/versionMoves.ts
+++ b/src/versions/versionMoves.ts
@@ -4,9 +4,9 @@
 import { LatencyBaseline, LatencyKind } from "../control/moves/latencyBaseline.js";
 import { addCounts, createEmptyCounts, EvidenceCounts, EvidenceEntry, MoveEvidence } from "../control/moves/moveEvidence.js";
 import { VersionJudge } from "../control/moves/versionJudge.js";
-import { ObjectHandler } from "../provider/objectFollower.js";
+import { ObjectChangeHandler } from "../provider/objectWatcher.js";
 import { ObjectList, StoredObject } from "../provider/types.js";
-import { isFinalStage, MoveAccount, MoveStage, VersionAttempt, VersionMoveDecoder, VersionMoveOrder, VersionSide } from "./types.js";
+import { isFinalStage, MoveStage, VersionAttempt, VersionMoveDecoder, VersionMoveOrder, VersionMoveStatus, VersionSide } from "./types.js";
 
 /** Times are compared as percentages of the expected time: the baseline's constant margin needs numbers of that scale. */
 const percent = 100;
@@ -16,7 +16,7 @@
     readonly order: VersionMoveOrder;
     /** The stored object as last read or written. */
     object: StoredObject;
-    account: MoveAccount | undefined;
+    account: VersionMoveStatus | undefined;
     /** Monotonic milliseconds at which this node first read the order. */
     readonly seenAt: number;
     /** Unix milliseconds. */
@@ -34,7 +34,7 @@
 }
 
 /** Counts of one route for the old or the new version, as exchanged between nodes. */
-export interface ToldEvidence {
+export interface PeerEvidence {
     readonly service: string;
     readonly target: string;
     readonly side: VersionSide;
@@ -44,7 +44,7 @@
 }
 
 /** Follows the version moves that operators ordered, collects evidence about both versions, and stops a move at a finding against the new one. */
-export class VersionMoves implements ObjectHandler {
+export class VersionMoves implements ObjectChangeHandler {
     private readonly moves = new Map<string, VersionMove>();
     private readonly baselines = new Map<string, LatencyBaseline>();
 
@@ -77,7 +77,7 @@
         const known = this.moves.get(order.service);
         if (known?.order.target === order.target) {
             if (object.revision > known.object.revision) {
-                this.recordAccount(known, object, account);
+                this.recordStatus(known, object, account);
             }
             return;
         }
@@ -93,7 +93,7 @@
     }
 
     /** Records a status that was written to or read from the store; undefined keeps the previous one. */
-    recordAccount(move: VersionMove, object: StoredObject, account: MoveAccount | undefined): void {
+    recordStatus(move: VersionMove, object: StoredObject, account: VersionMoveStatus | undefined): void {
         const before = this.getStage(move);
         move.object = object;
         if (account !== undefined) {
@@ -136,7 +136,7 @@
     }
 
     /** Returns the evidence about running moves: the local counts, and with includesPeers also those received from peers. */
-    listEvidence(includesPeers: boolean): ToldEvidence[] {
+    listEvidence(includesPeers: boolean): PeerEvidence[] {
         return this.listRunning().flatMap(({ order, evidence }) =>
             evidence.listEntries().filter(entry => includesPeers || entry.node === this.node.name).map(entry => ({
                 service: order.service,
@@ -150,7 +150,7 @@
     }
 
     /** Merges evidence of a peer and judges the new version again. */
-    mergeEvidence(peerEvidence: ToldEvidence): void {
+    mergeEvidence(peerEvidence: PeerEvidence): void {
         const { node } = peerEvidence;
         const move = this.moves.get(peerEvidence.service);
         if (move === undefined || move.order.target !== peerEvidence.target || node.name === this.node.name) {
@@ -169,7 +169,7 @@
         }
     }
 
-    private addMove(order: VersionMoveOrder, object: StoredObject, account: MoveAccount | undefined): void {
+    private addMove(order: VersionMoveOrder, object: StoredObject, account: VersionMoveStatus | undefined): void {
         const evidence = MoveEvidence.create();
         const move: VersionMove = {
             order,
--- a/src/versions/versionTraffic.ts
+++ b/src/versions/versionTraffic.ts
@@ -1,12 +1,12 @@
 import { RandomSource } from "../common/random.js";
 import { FleetEndpoint } from "../fleet/fleetEndpoint.js";
-import { EndpointTraffic } from "../placement/endpointChooser.js";
+import { EndpointGroupSource } from "../placement/endpointChooser.js";
 import { PlacementQuery } from "../placement/types.js";
 import { MoveStage } from "./types.js";
 import { VersionMove, VersionMoves } from "./versionMoves.js";
 
 /** Selects the endpoints that may serve a request by their version, while its service is moved to another version. */
-export class VersionTraffic implements EndpointTraffic {
+export class VersionTraffic implements EndpointGroupSource {
     private constructor(
         private readonly moves: VersionMoves,
         private readonly random: RandomSource,
@@ -29,7 +29,7 @@
             case MoveStage.Trial:
                 return this.listTrialGroups(query, newer, older);
             case MoveStage.LongStreams:
-                return query.isBoundStream ? [newer, older] : this.listTrialGroups(query, newer, older);
+                return query.isNonResumableStream ? [newer, older] : this.listTrialGroups(query, newer, older);
             case MoveStage.All:
             case MoveStage.Done:
                 return [newer, older];
@@ -39,7 +39,7 @@
     }
 
     /** Returns the endpoints that count as a service's capacity: the old version's, or the new version's once the move is done. */
-    listCarrying(service: string, endpoints: readonly FleetEndpoint[]): readonly FleetEndpoint[] {
+    listServing(service: string, endpoints: readonly FleetEndpoint[]): readonly FleetEndpoint[] {
         const move = this.moves.findMove(service);
         if (move === undefined) {
             return endpoints;
@@ -55,7 +55,7 @@
 
     /** Returns the groups of the trial stage. Retries stay at the old version: after one fault they must not risk another. */
     private listTrialGroups(query: PlacementQuery, newer: FleetEndpoint[], older: FleetEndpoint[]): FleetEndpoint[][] {
-        const isTrial = query.tried.size === 0 && newer.length > 0 && this.random.pickFraction() < this.trialShare;
+        const isTrial = query.triedEndpoints.size === 0 && newer.length > 0 && this.random.pickFraction() < this.trialShare;
         return isTrial ? [this.pickTrialEndpoints(newer), older] : [older];
     }
 
