--- a/src/node/bindings/controlBindings.ts
+++ b/src/node/bindings/controlBindings.ts
@@ -112,7 +112,7 @@
         settings.timing.leaseTerm,
         {
             recordAcquisition: (lease, fencing) => {
-                context.get(Keys.Logger).info("lease acquired", { lease, fencing });
+                context.get(Keys.Logger).info("lease taken", { lease, fencing });
                 context.get(Keys.Metrics).leaseHeld.set({ lease }, 1);
             },
         },
--- a/src/requests/commands/claimStore.ts
+++ b/src/requests/commands/claimStore.ts
@@ -24,7 +24,7 @@
     /** The call ran and its response is stored. */
     Done = "done",
     /** The call ran; its response was too large to store. */
-    DoneWithoutResponse = "done-without-answer",
+    DoneWithoutAnswer = "done-without-answer",
 }
 
 const claimSchema = z.object({
@@ -139,7 +139,7 @@
         const isSmall = response.body.length <= storedResponseLimitBytes;
         const value: Claim = {
             ...claim.value,
-            state: isSmall ? ClaimState.Done : ClaimState.DoneWithoutResponse,
+            state: isSmall ? ClaimState.Done : ClaimState.DoneWithoutAnswer,
             status: response.status,
             content_type: response.contentType,
             body_base64: isSmall ? response.body.toString("base64") : undefined,
